--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -1,7 +1,7 @@
 //! The frames printed in the wire's page, round trips, and bad input.
 
 use super::*;
-use pearfork::{Event, Verdict};
+use pearfork::{Event, AttemptResult};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -52,11 +52,11 @@
     let Incoming::Event(Event::Request(q)) = decode(SUBMIT).unwrap() else { panic!() };
     assert_eq!((q.id, q.units, q.shard, q.volume_hosts), (0x5d3a_91c4, 2.0, Some(0), 3.0));
     assert_eq!(q.valid_until_ms, 8652.25);
-    let Incoming::Event(Event::List(kind, e)) = decode(FLEET).unwrap() else { panic!() };
+    let Incoming::Event(Event::NodeList(kind, e)) = decode(FLEET).unwrap() else { panic!() };
     assert_eq!((kind, e.len(), e[0].node), (pearfork::ListKind::Cached, 2, 0x0312_4a07));
     assert_eq!((e[1].started_ms, e[1].node), (6100.0, 0x2c90_11f2));
-    let Incoming::Event(Event::Outcome(o)) = decode(RESPONSE).unwrap() else { panic!() };
-    assert_eq!((o.verdict, o.complete, o.elapsed_ms, o.foreign_units), (Verdict::Served, true, 18.5, 3.0));
+    let Incoming::Event(Event::AttemptEnded(o)) = decode(RESPONSE).unwrap() else { panic!() };
+    assert_eq!((o.result, o.request_ended, o.elapsed_ms, o.other_hosts_units), (AttemptResult::Served, true, 18.5, 3.0));
     assert_eq!(o.used_percent, Some(85.0));
     let ring = decode("2404 0a000000 0300 4d00000000000000").unwrap();
     assert_eq!(ring, Incoming::Event(Event::Timer { label: 77 }));
@@ -71,11 +71,11 @@
     let mut reply = Reply::new(12);
     reply.action(
         3,
-        &Action::Send { id: 0x5d3a_91c4, node: 0x0312_4a07, within_ms: 80.0, by_ms: f64::INFINITY },
+        &Action::Send { id: 0x5d3a_91c4, node: 0x0312_4a07, timeout_ms: 80.0, write_deadline_ms: f64::INFINITY },
     );
     reply.action(3, &Action::SetTimer { at_ms: 8912.25, label: 77 });
     reply.action(5, &Action::Log("two servers known".to_owned()));
-    reply.action(3, &Action::Tell { to: None, bytes: b"hi 7".to_vec() });
+    reply.action(3, &Action::SendMessage { to: None, bytes: b"hi 7".to_vec() });
     let head = "04000000 5d000000 0c000000";
     let body = "e803 12000000 0300 c4913a5d 074a1203 0000000000005440 1004 12000000 0300 000000002068c140 \
                 4d00000000000000 3804 15000000 0500 1100 74776f2073657276657273206b6e6f776e \
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames and records: little-endian, nothing between the fields.
 
-use pearfork::{Action, Condition, Event, ListKind, NodeEntry, Outcome, Request, Verdict};
+use pearfork::{Action, NodeState, Event, ListKind, NodeEntry, AttemptOutcome, Request, AttemptResult};
 
 use pearfork_site::Fields;
 
@@ -110,16 +110,16 @@
     Event(Event),
 }
 
-fn verdict(rc: u8) -> Result<Verdict, String> {
+fn result(rc: u8) -> Result<AttemptResult, String> {
     Ok(match rc {
-        0 => Verdict::Served,
-        1 => Verdict::Error,
-        2 => Verdict::Full,
-        3 => Verdict::TimedOut,
-        4 => Verdict::ConnectFailed,
-        5 => Verdict::Reset,
-        6 => Verdict::Cancelled,
-        7 => Verdict::Moot,
+        0 => AttemptResult::Served,
+        1 => AttemptResult::Error,
+        2 => AttemptResult::Rejected,
+        3 => AttemptResult::TimedOut,
+        4 => AttemptResult::ConnectFailed,
+        5 => AttemptResult::Reset,
+        6 => AttemptResult::Cancelled,
+        7 => AttemptResult::NotSent,
         _ => return Err(format!("Response: unknown outcome {rc}")),
     })
 }
@@ -154,18 +154,18 @@
                     let _kind = c.u16()?;
                     let started_ms = c.f64()?;
                     let shard = c.u16()?;
-                    let condition = match c.u8()? {
-                        0 => Condition::Gone,
-                        1 => Condition::Ready,
-                        2 => Condition::Draining,
+                    let state = match c.u8()? {
+                        0 => NodeState::Gone,
+                        1 => NodeState::Ready,
+                        2 => NodeState::Draining,
                         k => return Err(format!("Fleet: unknown condition {k}")),
                     };
                     let zone = c.u16()?;
                     let node = c.u32()?;
                     let _nominal = c.f32()?;
-                    entries.push(NodeEntry { node, shard, zone, condition, started_ms });
+                    entries.push(NodeEntry { node, shard, zone, state, started_ms });
                 }
-                Event::List(kind, entries)
+                Event::NodeList(kind, entries)
             }
             1010 => {
                 let (id, class, plan, key) = (c.u32()?, c.u16()?, c.u16()?, c.u64()?);
@@ -198,39 +198,39 @@
                 let answered = c.u8()? == 0;
                 let n = c.u8()? as usize;
                 c.bytes(4 * n)?;
-                Event::Probed { node, answered, elapsed_ms }
+                Event::ProbeFinished { node, answered, elapsed_ms }
             }
             1030 => Event::Abandoned { id: c.u32()? },
             1090 => {
                 let id = c.u32()?;
                 let (_elapsed, _attempt, _node) = (c.f64()?, c.u16()?, c.u32()?);
-                Event::AnswerBegan { id }
+                Event::ResponseStarted { id }
             }
             1060 => Event::Timer { label: c.u64()? },
             _ => {
                 let id = c.u32()?;
-                let verdict = verdict(c.u8()?)?;
+                let result = result(c.u8()?)?;
                 let attempt = c.u16()?;
                 let elapsed_ms = c.f64()?;
                 let used = c.u16()?;
                 let node = c.u32()?;
-                let complete = c.u8()? != 0;
-                let foreign_units = f64::from(c.u16()?);
+                let request_ended = c.u8()? != 0;
+                let other_hosts_units = f64::from(c.u16()?);
                 let n = c.u8()? as usize;
                 let report = (0..n).map(|_| c.f32().map(f64::from)).collect::<Result<Vec<_>, _>>()?;
                 let told = |at: fn(&Fields) -> Option<usize>| {
                     fields.and_then(at).and_then(|i| report.get(i)).copied()
                 };
                 let used_percent = (used > 0).then(|| f64::from(used - 1));
-                Event::Outcome(Outcome {
+                Event::AttemptEnded(AttemptOutcome {
                     id,
                     attempt,
                     node,
-                    verdict,
+                    result,
                     elapsed_ms,
-                    complete,
+                    request_ended,
                     used_percent,
-                    foreign_units,
+                    other_hosts_units,
                     queue: told(|f| f.queue),
                     in_flight: told(|f| f.in_flight),
                     latency_ms: told(|f| f.latency),
@@ -278,8 +278,8 @@
     pub fn action(&mut self, who: u16, action: &Action) {
         match action {
             // On this wire an attempt goes out in the round in which it is issued: never after its last moment.
-            Action::Send { id, node, within_ms, .. } => {
-                let parts = [&id.to_le_bytes()[..], &node.to_le_bytes(), &within_ms.to_le_bytes()];
+            Action::Send { id, node, timeout_ms, .. } => {
+                let parts = [&id.to_le_bytes()[..], &node.to_le_bytes(), &timeout_ms.to_le_bytes()];
                 self.record(1000, who, &parts);
             }
             Action::Refuse { id, retry_after_ms, .. } => {
@@ -293,14 +293,14 @@
                 self.record(1040, who, &[&at_ms.to_le_bytes(), &label.to_le_bytes()]);
             }
             Action::Watch(on) => self.record(1100, who, &[&[u8::from(*on)]]),
-            Action::ReadList => self.record(1110, who, &[]),
+            Action::FetchNodeList => self.record(1110, who, &[]),
             Action::Probe { node } => self.record(1050, who, &[&node.to_le_bytes()]),
-            Action::Tell { to, bytes } => {
+            Action::SendMessage { to, bytes } => {
                 let bytes = &bytes[..bytes.len().min(usize::from(u16::MAX))];
                 let (to, n) = (to.unwrap_or(u16::MAX).to_le_bytes(), (bytes.len() as u16).to_le_bytes());
                 self.record(1070, who, &[&to, &n, bytes]);
             }
-            Action::CloseIdle { node } => self.record(1060, who, &[&node.to_le_bytes()]),
+            Action::CloseIdleConnections { node } => self.record(1060, who, &[&node.to_le_bytes()]),
             Action::Log(text) => self.text(1080, who, text),
         }
     }
--- a/crates/day/src/figures.rs
+++ b/crates/day/src/figures.rs
@@ -61,7 +61,7 @@
         fall_ms: m.fall_ms,
         cold_units: m.cold_units,
         key_rest_ms: m.key_rest_ms,
-        budget: m.extra.map(|e| (e.free, e.ratio, e.span_ms)),
+        budget: m.retry_budget.map(|e| (e.free, e.ratio, e.span_ms)),
         margin_ms,
     }
 }
--- a/crates/drive/src/ids.rs
+++ b/crates/drive/src/ids.rs
@@ -17,7 +17,7 @@
     }
 
     /// The next id that is not alive. Far fewer than 2^32 are: windows and queues are bounded.
-    pub fn allot(&mut self, alive: impl Fn(u32) -> bool) -> u32 {
+    pub fn allocate(&mut self, alive: impl Fn(u32) -> bool) -> u32 {
         loop {
             let id = self.next;
             self.next = self.next.wrapping_add(1);
@@ -35,8 +35,8 @@
     #[test]
     fn counting_goes_on_past_the_last_id_around_what_is_alive() {
         let mut ids = RequestIds::starting_at(u32::MAX);
-        assert_eq!(ids.allot(|_| false), u32::MAX);
-        assert_eq!(ids.allot(|id| id < 3), 3);
-        assert_eq!(ids.allot(|_| false), 4);
+        assert_eq!(ids.allocate(|_| false), u32::MAX);
+        assert_eq!(ids.allocate(|id| id < 3), 3);
+        assert_eq!(ids.allocate(|_| false), 4);
     }
 }
--- a/crates/drive/src/lib.rs
+++ b/crates/drive/src/lib.rs
@@ -9,7 +9,7 @@
 pub use ids::RequestIds;
 
 use pearfork::{
-    Action, Event, ListKind, NodeEntry, Outcome, Reason, Request, Scheduler, Settings, SettingsError, Verdict,
+    Action, Event, ListKind, NodeEntry, AttemptOutcome, Reason, Request, Scheduler, Settings, SettingsError, AttemptResult,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -25,11 +25,11 @@
 
 /// What a node's answer told besides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct NodeReport {
     /// Units served for the volume everywhere in a past period, in percent of its nominal rate.
     pub used_percent: Option<f64>,
     /// Units this shard served for the volume through other hosts since its last answer here.
-    pub foreign_units: f64,
+    pub other_hosts_units: f64,
     /// Requests waiting at the node.
     pub queue: Option<f64>,
     /// Requests in work or waiting at the node.
@@ -43,25 +43,25 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Send an attempt to a node; it is over for the host at `until_ms`, which a [`Step::Withdrawn`] tells.
+    /// Send an attempt to a node; it is over for the host at `deadline_ms`, which a [`Step::AttemptDropped`] tells.
     Send {
         /// Which.
         attempt: AttemptId,
         /// Where to.
         node: u32,
         /// On the caller's clock.
-        until_ms: f64,
+        deadline_ms: f64,
         /// What is not written whole by then is not to be written, and never ran; infinite for no such moment.
-        by_ms: f64,
+        write_deadline_ms: f64,
     },
     /// An attempt is no longer waited for: cancelled, or its time is up.
-    Withdrawn {
+    AttemptDropped {
         /// Which.
         attempt: AttemptId,
         /// Where it was sent.
         node: u32,
-        /// [`Verdict::Cancelled`] or [`Verdict::TimedOut`].
-        verdict: Verdict,
+        /// [`AttemptResult::Cancelled`] or [`AttemptResult::TimedOut`].
+        result: AttemptResult,
     },
     /// The final answer: refused.
     Refused {
@@ -82,9 +82,9 @@
     /// Go on asking for changes of the node list, or stop.
     Watch(bool),
     /// Ask for the whole list once.
-    ReadList,
+    FetchNodeList,
     /// Close idle connections to a node.
-    CloseIdle(u32),
+    CloseIdleConnections(u32),
     /// A line for the staff.
     Log(String),
 }
@@ -161,16 +161,16 @@
     }
 
     /// An id that no live request or attempt has.
-    pub fn allot(&mut self) -> u32 {
+    pub fn allocate_id(&mut self) -> u32 {
         let (requests, flights, most) = (&self.requests, &self.flights, self.most_attempts);
-        self.ids.allot(|request| {
+        self.ids.allocate(|request| {
             let out = |number| flights.contains_key(&AttemptId { request, number });
             requests.contains_key(&request) || (0..most).any(out)
         })
     }
 
-    /// A request came, under an id that was allotted for it. The module is told at the next [`Driver::drive`].
-    pub fn request(&mut self, request: Request) {
+    /// A request came, under an id that was allotted for it. The module is told at the next [`Driver::process_events`].
+    pub fn submit(&mut self, request: Request) {
         self.requests.insert(request.id, Live { valid_until: request.valid_until_ms, attempts: 0 });
         self.events.push_back(Event::Request(request));
     }
@@ -183,13 +183,13 @@
     }
 
     /// The node list, or a change of it.
-    pub fn list(&mut self, kind: ListKind, entries: Vec<NodeEntry>) {
-        self.events.push_back(Event::List(kind, entries));
+    pub fn update_node_list(&mut self, kind: ListKind, entries: Vec<NodeEntry>) {
+        self.events.push_back(Event::NodeList(kind, entries));
     }
 
-    /// This host's part of a volume's limit from now on, as [`Event::Part`] has it.
-    pub fn part(&mut self, part: Event) {
-        debug_assert!(matches!(part, Event::Part { .. }));
+    /// This host's part of a volume's limit from now on, as [`Event::LimitShare`] has it.
+    pub fn set_limit_share(&mut self, part: Event) {
+        debug_assert!(matches!(part, Event::LimitShare { .. }));
         self.events.push_back(part);
     }
 
@@ -198,15 +198,15 @@
     ///
     /// Danger: an answer after its time-out. The attempt is over for the module; a late success must not answer a
     /// request that was refused meanwhile, nor one that took its id.
-    pub fn ended(&mut self, at: f64, id: AttemptId, verdict: Verdict, told: Told) -> bool {
+    pub fn attempt_ended(&mut self, at: f64, id: AttemptId, result: AttemptResult, told: NodeReport) -> bool {
         let Some(flight) = self.flights.remove(&id) else { return false };
-        let served = verdict == Verdict::Served && self.over(id.request);
-        self.outcome(at, id, &flight, verdict, told);
+        let served = result == AttemptResult::Served && self.over(id.request);
+        self.outcome(at, id, &flight, result, told);
         served
     }
 
     /// Whether an attempt is still waited for.
-    pub fn is_out(&self, id: AttemptId) -> bool {
+    pub fn is_in_flight(&self, id: AttemptId) -> bool {
         self.flights.contains_key(&id)
     }
 
@@ -216,18 +216,18 @@
     }
 
     /// The attempts of a request that are still waited for, in order of issue.
-    pub fn out_of(&self, request: u32) -> Vec<AttemptId> {
+    pub fn attempts_of(&self, request: u32) -> Vec<AttemptId> {
         let all = (0..self.most_attempts).map(|number| AttemptId { request, number });
-        all.filter(|id| self.is_out(*id)).collect()
+        all.filter(|id| self.is_in_flight(*id)).collect()
     }
 
     /// Requests without an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Attempts that are waited for.
-    pub fn out(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.flights.len()
     }
 
@@ -241,12 +241,12 @@
     }
 
     /// When something is due next.
-    pub fn next_due(&self) -> Option<f64> {
+    pub fn next_timer(&self) -> Option<f64> {
         self.timers.peek().map(|Reverse((at, ..))| at.0)
     }
 
     /// Rings what is due.
-    pub fn ring(&mut self, now: f64, out: &mut Vec<Step>) {
+    pub fn run_timers(&mut self, now: f64, out: &mut Vec<Step>) {
         // Bounded by what was due at the call: a timer set for now by one that rings waits for the next call.
         let before = self.timer_number;
         let mut later = Vec::new();
@@ -261,15 +261,15 @@
             }
             match due {
                 Due::Module(label) => self.events.push_back(Event::Timer { label }),
-                Due::TimeOut(id) => self.withdraw(now, id, Verdict::TimedOut, out),
+                Due::TimeOut(id) => self.withdraw(now, id, AttemptResult::TimedOut, out),
             }
-            self.drive(now, out);
+            self.process_events(now, out);
         }
         self.timers.extend(later);
     }
 
     /// Gives the module what waits for it and notes what it says, until both are quiet.
-    pub fn drive(&mut self, now: f64, out: &mut Vec<Step>) {
+    pub fn process_events(&mut self, now: f64, out: &mut Vec<Step>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.scheduler.handle(now, event, &mut actions);
@@ -290,15 +290,15 @@
 
     fn carry_out(&mut self, now: f64, action: Action, out: &mut Vec<Step>) {
         match action {
-            Action::Send { id, node, within_ms, by_ms } => {
+            Action::Send { id, node, timeout_ms, write_deadline_ms } => {
                 let Some(live) = self.requests.get_mut(&id) else { return self.moot(id, node) };
                 let attempt = AttemptId { request: id, number: live.attempts };
                 live.attempts = live.attempts.saturating_add(1);
-                let until_ms =
-                    if within_ms > 0.0 { live.valid_until.min(now + within_ms) } else { live.valid_until };
+                let deadline_ms =
+                    if timeout_ms > 0.0 { live.valid_until.min(now + timeout_ms) } else { live.valid_until };
                 self.flights.insert(attempt, Flight { node, sent: now });
-                self.set_timer(until_ms, Due::TimeOut(attempt));
-                out.push(Step::Send { attempt, node, until_ms, by_ms });
+                self.set_timer(deadline_ms, Due::TimeOut(attempt));
+                out.push(Step::Send { attempt, node, deadline_ms, write_deadline_ms });
             }
             Action::Refuse { id, retry_after_ms, reason } => {
                 if self.over(id) {
@@ -311,15 +311,15 @@
                 }
             }
             Action::Cancel { id, attempt } => {
-                self.withdraw(now, AttemptId { request: id, number: attempt }, Verdict::Cancelled, out);
+                self.withdraw(now, AttemptId { request: id, number: attempt }, AttemptResult::Cancelled, out);
             }
             Action::SetTimer { at_ms, label } => self.set_timer(at_ms, Due::Module(label)),
             Action::Watch(on) => out.push(Step::Watch(on)),
-            Action::ReadList => out.push(Step::ReadList),
-            Action::CloseIdle { node } => out.push(Step::CloseIdle(node)),
+            Action::FetchNodeList => out.push(Step::FetchNodeList),
+            Action::CloseIdleConnections { node } => out.push(Step::CloseIdleConnections(node)),
             Action::Log(text) => out.push(Step::Log(text)),
             // Not offered to the module by these hosts: nodes can't be probed, hosts don't talk.
-            Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Probe { .. } | Action::SendMessage { .. } => {}
         }
     }
 
@@ -331,7 +331,7 @@
         let attempt = AttemptId { request: id, number: *attempts };
         *attempts = attempts.saturating_add(1);
         let flight = Flight { node, sent: 0.0 };
-        self.outcome(0.0, attempt, &flight, Verdict::Moot, Told::default());
+        self.outcome(0.0, attempt, &flight, AttemptResult::NotSent, NodeReport::default());
     }
 
     fn set_timer(&mut self, at_ms: f64, due: Due) {
@@ -342,22 +342,22 @@
     }
 
     /// The host stops waiting for an attempt, by the module's word or at the time that it named.
-    fn withdraw(&mut self, now: f64, id: AttemptId, verdict: Verdict, out: &mut Vec<Step>) {
+    fn withdraw(&mut self, now: f64, id: AttemptId, result: AttemptResult, out: &mut Vec<Step>) {
         let Some(flight) = self.flights.remove(&id) else { return };
-        out.push(Step::Withdrawn { attempt: id, node: flight.node, verdict });
-        self.outcome(now, id, &flight, verdict, Told::default());
+        out.push(Step::AttemptDropped { attempt: id, node: flight.node, result });
+        self.outcome(now, id, &flight, result, NodeReport::default());
     }
 
-    fn outcome(&mut self, at: f64, id: AttemptId, flight: &Flight, verdict: Verdict, told: Told) {
-        self.events.push_back(Event::Outcome(Outcome {
+    fn outcome(&mut self, at: f64, id: AttemptId, flight: &Flight, result: AttemptResult, told: NodeReport) {
+        self.events.push_back(Event::AttemptEnded(AttemptOutcome {
             id: id.request,
             attempt: id.number,
             node: flight.node,
-            verdict,
+            result,
             elapsed_ms: (at - flight.sent).max(0.0),
-            complete: !self.requests.contains_key(&id.request),
+            request_ended: !self.requests.contains_key(&id.request),
             used_percent: told.used_percent,
-            foreign_units: told.foreign_units,
+            other_hosts_units: told.other_hosts_units,
             queue: told.queue,
             in_flight: told.in_flight,
             latency_ms: told.latency_ms,
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -6,7 +6,7 @@
 mod bed;
 
 use bed::{free_node, load, settings, At, Gateway, QUICKSTART};
-use pearfork::{Event, ListKind, NodeEntry, Outcome, Request, Scheduler, Verdict};
+use pearfork::{Event, ListKind, NodeEntry, AttemptOutcome, Request, Scheduler, AttemptResult};
 use pearfork_host::settings::HostPlan;
 use pearfork_iscsi::InitiatorConfig;
 use pearfork_net::{Connection, TapRef};
@@ -47,12 +47,12 @@
             node: n,
             shard: n as u16,
             zone: 0,
-            condition: pearfork::Condition::Ready,
+            state: pearfork::NodeState::Ready,
             started_ms: 0.0,
         })
         .collect();
     let mut actions = Vec::new();
-    s.handle(0.0, Event::List(ListKind::Full, nodes), &mut actions);
+    s.handle(0.0, Event::NodeList(ListKind::Full, nodes), &mut actions);
     let (mut spent, mut worst, requests) = (Duration::ZERO, Duration::ZERO, 200_000u32);
     for id in 0..requests {
         let now = f64::from(id) * 0.5;
@@ -82,15 +82,15 @@
         for (id, node) in sent {
             s.handle(
                 now + 0.3,
-                Event::Outcome(Outcome {
+                Event::AttemptEnded(AttemptOutcome {
                     id,
                     attempt: 0,
                     node,
-                    verdict: Verdict::Served,
+                    result: AttemptResult::Served,
                     elapsed_ms: 0.3,
-                    complete: true,
+                    request_ended: true,
                     used_percent: None,
-                    foreign_units: 0.0,
+                    other_hosts_units: 0.0,
                     queue: Some(1.0),
                     in_flight: Some(2.0),
                     latency_ms: Some(0.3),
--- a/crates/host/src/counts.rs
+++ b/crates/host/src/counts.rs
@@ -131,17 +131,17 @@
     fn counts_add_up_over_hosts_and_spans_and_lines_are_few() {
         let volume = VolumeId(3);
         let mut a = ReasonCounts::default();
-        assert!(a.add(0.0, 0, volume, Reason::Limit, false));
-        assert!(!a.add(999.0, 0, volume, Reason::Limit, false), "one line a second of a kind");
-        assert!(a.add(999.0, 0, volume, Reason::Silent, true), "and each kind has its own");
-        assert!(a.add(1_000.0, 1, volume, Reason::Limit, false));
+        assert!(a.add(0.0, 0, volume, Reason::VolumeLimit, false));
+        assert!(!a.add(999.0, 0, volume, Reason::VolumeLimit, false), "one line a second of a kind");
+        assert!(a.add(999.0, 0, volume, Reason::NoResponse, true), "and each kind has its own");
+        assert!(a.add(1_000.0, 1, volume, Reason::VolumeLimit, false));
         let earlier = a.clone();
-        a.add(1_100.0, 1, volume, Reason::Limit, false);
+        a.add(1_100.0, 1, volume, Reason::VolumeLimit, false);
         let more = a.since(&earlier);
-        assert_eq!(more.by_reason(|_| true), [(Reason::Limit, 1)].into());
+        assert_eq!(more.by_reason(|_| true), [(Reason::VolumeLimit, 1)].into());
         let mut all = earlier.clone();
         all.merge(&more);
         assert_eq!(all.by_reason(|k| !k.failed), a.by_reason(|k| !k.failed));
-        assert_eq!(a.by_reason(|k| k.class == 0), [(Reason::Limit, 2), (Reason::Silent, 1)].into());
+        assert_eq!(a.by_reason(|k| k.class == 0), [(Reason::VolumeLimit, 2), (Reason::NoResponse, 1)].into());
     }
 }
--- a/crates/host/src/directory.rs
+++ b/crates/host/src/directory.rs
@@ -6,7 +6,7 @@
 use crate::engine::Message;
 use crate::links::Links;
 use crossbeam_channel::{Receiver, Sender};
-use pearfork::{Condition, ListKind, NodeEntry};
+use pearfork::{NodeState, ListKind, NodeEntry};
 use pearfork_net::http;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -74,12 +74,12 @@
 
 impl From<&ListedNode> for NodeEntry {
     fn from(n: &ListedNode) -> Self {
-        let condition = match n.state {
-            ListedState::Ready => Condition::Ready,
-            ListedState::Draining => Condition::Draining,
-            ListedState::Gone => Condition::Gone,
+        let state = match n.state {
+            ListedState::Ready => NodeState::Ready,
+            ListedState::Draining => NodeState::Draining,
+            ListedState::Gone => NodeState::Gone,
         };
-        NodeEntry { node: n.node, shard: n.shard, zone: n.zone, condition, started_ms: n.started_ms }
+        NodeEntry { node: n.node, shard: n.shard, zone: n.zone, state, started_ms: n.started_ms }
     }
 }
 
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -8,9 +8,9 @@
 use crate::settings::{HostPlan, Matching};
 use crate::volumes::{Part, VolumeId};
 use hdrhistogram::Histogram;
-use pearfork::{Event, ListKind, NodeEntry, Reason, Request, Verdict};
+use pearfork::{Event, ListKind, NodeEntry, Reason, Request, AttemptResult};
 pub use pearfork_drive::AttemptId;
-use pearfork_drive::{Driver, Step, Told};
+use pearfork_drive::{Driver, Step, NodeReport};
 use pearfork_iscsi::ext::{RepeatKey, Report, Tag};
 use pearfork_iscsi::Payload;
 use pearfork_scsi::Media;
@@ -250,7 +250,7 @@
             Input::Lent(parts) => parts.into_iter().for_each(|p| self.lend(p)),
             Input::List(kind, entries) => {
                 self.note_list(kind, &entries);
-                self.driver.list(kind, entries);
+                self.driver.update_node_list(kind, entries);
             }
         }
         self.drive(now, out);
@@ -264,12 +264,12 @@
     fn lend(&mut self, p: LentPart) {
         let Some(volume) = self.plan.volumes.get(p.volume.0 as usize) else { return };
         let hosts = |part: f64| if part > 0.0 { 1.0 / part } else { f64::INFINITY };
-        self.driver.part(Event::Part {
+        self.driver.set_limit_share(Event::LimitShare {
             volume: u64::from(p.volume.0),
             plan: volume.plan,
-            hosts: hosts(p.floor + p.lent),
-            burst_hosts: hosts(p.floor + p.lent_burst),
-            floor_hosts: hosts(p.floor),
+            rate_divisor: hosts(p.floor + p.lent),
+            burst_divisor: hosts(p.floor + p.lent_burst),
+            floor_divisor: hosts(p.floor),
             until_ms: p.until_ms,
         });
         let lent = p.lent > 0.0 || p.lent_burst > 0.0;
@@ -278,13 +278,13 @@
 
     /// When something is due next.
     pub fn next_due(&self) -> Option<f64> {
-        self.driver.next_due()
+        self.driver.next_timer()
     }
 
     /// Rings what is due.
     pub fn ring(&mut self, now: f64, out: &mut Vec<Effect>) {
         let mut steps = std::mem::take(&mut self.steps);
-        self.driver.ring(now, &mut steps);
+        self.driver.run_timers(now, &mut steps);
         self.carry_out_all(now, steps, out);
     }
 
@@ -354,7 +354,7 @@
         self.classes[usize::from(class)].taken += 1;
         let mut requests = Vec::with_capacity(parts.len());
         for (n, part) in parts.iter().enumerate() {
-            let id = self.driver.allot();
+            let id = self.driver.allocate_id();
             let moved = part.media.moves(block);
             let valid_until = arrived + rule.deadline_ms;
             let live = Live {
@@ -372,7 +372,7 @@
                     part: n as u16,
                 },
             };
-            self.driver.request(Request {
+            self.driver.submit(Request {
                 id,
                 class,
                 plan: plan_number,
@@ -405,7 +405,7 @@
     /// Gives the module what waits for it and carries out what it says, until both are quiet.
     fn drive(&mut self, now: f64, out: &mut Vec<Effect>) {
         let mut steps = std::mem::take(&mut self.steps);
-        self.driver.drive(now, &mut steps);
+        self.driver.process_events(now, &mut steps);
         self.carry_out_all(now, steps, out);
     }
 
@@ -416,13 +416,13 @@
 
     fn carry_out(&mut self, now: f64, step: Step, out: &mut Vec<Effect>) {
         match step {
-            Step::Send { attempt, node, by_ms, .. } => self.send(attempt, node, by_ms, out),
-            Step::Withdrawn { attempt, node, verdict } => {
+            Step::Send { attempt, node, write_deadline_ms, .. } => self.send(attempt, node, write_deadline_ms, out),
+            Step::AttemptDropped { attempt, node, result } => {
                 self.unwanted(attempt);
                 out.push(Effect::Abort(node, attempt));
                 let counts = self.nodes.entry(node).or_default();
-                match verdict {
-                    Verdict::Cancelled => counts.cancelled += 1,
+                match result {
+                    AttemptResult::Cancelled => counts.cancelled += 1,
                     _ => counts.timed_out += 1,
                 }
             }
@@ -431,13 +431,13 @@
             }
             Step::Failed { id, reason } => self.part_ends(now, id, PartEnd::Failed, Some(reason), out),
             Step::Watch(on) => out.push(Effect::Watch(on)),
-            Step::ReadList => out.push(Effect::ReadList),
-            Step::CloseIdle(node) => out.push(Effect::CloseIdle(node)),
+            Step::FetchNodeList => out.push(Effect::ReadList),
+            Step::CloseIdleConnections(node) => out.push(Effect::CloseIdle(node)),
             Step::Log(text) => out.push(Effect::Log(text)),
         }
     }
 
-    fn send(&mut self, attempt: AttemptId, node: u32, by_ms: f64, out: &mut Vec<Effect>) {
+    fn send(&mut self, attempt: AttemptId, node: u32, write_deadline_ms: f64, out: &mut Vec<Effect>) {
         let Some(live) = self.requests.get(&attempt.request) else { return };
         let wanted = Arc::new(AtomicBool::new(true));
         let block_len = self.plan.volumes[live.volume.0 as usize].unit.block_len;
@@ -457,7 +457,7 @@
             // Its units are drawn at its first sending; a further attempt draws none.
             not_after_ms: match self.lent_until.get(&live.volume) {
                 Some(until) if attempt.number == 0 => *until,
-                _ => by_ms,
+                _ => write_deadline_ms,
             },
         };
         self.wanted.insert(attempt, wanted);
@@ -484,15 +484,15 @@
         self.unwanted(id);
         let counts = self.nodes.entry(node).or_default();
         let (verdict, count) = match &ended {
-            Ended::Served(_) => (Verdict::Served, &mut counts.served),
-            Ended::Error => (Verdict::Error, &mut counts.errors),
-            Ended::Full => (Verdict::Full, &mut counts.full),
-            Ended::ConnectFailed => (Verdict::ConnectFailed, &mut counts.connect_failed),
-            Ended::Moot => (Verdict::Moot, &mut counts.moot),
-            Ended::Reset => (Verdict::Reset, &mut counts.reset),
+            Ended::Served(_) => (AttemptResult::Served, &mut counts.served),
+            Ended::Error => (AttemptResult::Error, &mut counts.errors),
+            Ended::Full => (AttemptResult::Rejected, &mut counts.full),
+            Ended::ConnectFailed => (AttemptResult::ConnectFailed, &mut counts.connect_failed),
+            Ended::Moot => (AttemptResult::NotSent, &mut counts.moot),
+            Ended::Reset => (AttemptResult::Reset, &mut counts.reset),
         };
         *count += 1;
-        let serves = self.driver.ended(now, id, verdict, report.map_or(Told::default(), told));
+        let serves = self.driver.attempt_ended(now, id, verdict, report.map_or(NodeReport::default(), told));
         if let (true, Ended::Served(served)) = (serves, ended) {
             self.part_ends(now, id.request, PartEnd::Served(served), None, out);
         }
@@ -545,10 +545,10 @@
 }
 
 /// A node's report as the module is told it.
-fn told(r: Report) -> Told {
-    Told {
+fn told(r: Report) -> NodeReport {
+    NodeReport {
         used_percent: Some(r.used_percent).filter(|u| *u != u16::MAX).map(f64::from),
-        foreign_units: f64::from(r.foreign_milli_units) / 1_000.0,
+        other_hosts_units: f64::from(r.foreign_milli_units) / 1_000.0,
         queue: Some(f64::from(r.queue)),
         in_flight: Some(f64::from(r.in_flight)),
         latency_ms: Some(f64::from(r.service_us) / 1_000.0),
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -351,7 +351,7 @@
             nominal: p.nominal,
             reserve: p.reserve,
             weight: p.weight,
-            pays: p.pays,
+            worth_factor: p.pays,
             limit: p.limit,
             burst: p.burst,
             slack: p.slack,
@@ -364,9 +364,9 @@
             round_ms: r.round.ms(),
             max_attempts: r.max_attempts,
             cancel: r.cancel,
-            second_copies: r.second_copies,
+            hedging: r.second_copies,
             max_retry_after_ms: r.max_retry_after.ms(),
-            extra: r.retry_budget.as_ref().map(|b| pearfork::ExtraRation {
+            retry_budget: r.retry_budget.as_ref().map(|b| pearfork::RetryBudget {
                 free: b.free,
                 ratio: b.ratio,
                 span_ms: b.span.ms(),
@@ -465,12 +465,12 @@
             },
             window_ms: c.window.unwrap_or_default().ms(),
             ordered: c.ordered,
-            terms: pearfork::Terms {
-                attempt_ms: self.span_above_0(&entry, "attempt", c.attempt),
+            attempt_policy: pearfork::AttemptPolicy {
+                attempt_timeout_ms: self.span_above_0(&entry, "attempt", c.attempt),
                 attempts: self.number_above_0(&entry, c.attempts),
-                pause_ms: c.retry_pause.ms(),
-                spread_ms: c.retry_spread.ms(),
-                second_after_ms: self.span_above_0(&entry, "second_copy_after", c.second_copy_after),
+                retry_delay_ms: c.retry_pause.ms(),
+                retry_jitter_ms: c.retry_spread.ms(),
+                hedge_after_ms: self.span_above_0(&entry, "second_copy_after", c.second_copy_after),
             },
         }
     }
--- a/crates/host/src/settings/routes.rs
+++ b/crates/host/src/settings/routes.rs
@@ -20,16 +20,16 @@
             let or = |span: Option<Span>, own: f64| span.map_or(own, Span::ms);
             class.aim_ms = or(r.aim, class.aim_ms);
             class.deadline_ms = or(r.deadline, class.deadline_ms);
-            class.terms.pause_ms = or(r.retry_pause, class.terms.pause_ms);
-            class.terms.spread_ms = or(r.retry_spread, class.terms.spread_ms);
+            class.attempt_policy.retry_delay_ms = or(r.retry_pause, class.attempt_policy.retry_delay_ms);
+            class.attempt_policy.retry_jitter_ms = or(r.retry_spread, class.attempt_policy.retry_jitter_ms);
             if r.attempt.is_some() {
-                class.terms.attempt_ms = self.span_above_0(&entry, "attempt", r.attempt);
+                class.attempt_policy.attempt_timeout_ms = self.span_above_0(&entry, "attempt", r.attempt);
             }
             if r.attempts.is_some() {
-                class.terms.attempts = self.number_above_0(&entry, r.attempts);
+                class.attempt_policy.attempts = self.number_above_0(&entry, r.attempts);
             }
             if r.second_copy_after.is_some() {
-                class.terms.second_after_ms =
+                class.attempt_policy.hedge_after_ms =
                     self.span_above_0(&entry, "second_copy_after", r.second_copy_after);
             }
             routes.push(class);
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -3,7 +3,7 @@
 use crate::counts::{ClassCounts, NodeCounts, ReasonCounts, ReasonKey};
 use crate::dispatcher::Dispatcher;
 use crate::settings::HostPlan;
-use pearfork::{Condition, NodeEntry, Reason};
+use pearfork::{NodeState, NodeEntry, Reason};
 use pearfork_fleet::state::{HeldLine, LinkLine};
 use pearfork_fleet::FleetView;
 use pearfork_net::http::{Answer, Call, Method};
@@ -45,7 +45,7 @@
     fn reasons_by<K: Ord>(&self, of: impl Fn(&ReasonKey) -> K) -> BTreeMap<K, BTreeMap<&'static str, u64>> {
         let mut out: BTreeMap<K, BTreeMap<&'static str, u64>> = BTreeMap::new();
         for (key, n) in self.reasons.iter() {
-            *out.entry(of(&key)).or_default().entry(key.reason.word()).or_insert(0) += n;
+            *out.entry(of(&key)).or_default().entry(key.reason.label()).or_insert(0) += n;
         }
         out
     }
@@ -125,7 +125,7 @@
     if draining {
         let open = snapshot.open;
         Answer::error(503, &format!("draining, {open} commands open, {sessions} sessions"))
-    } else if snapshot.listed.values().any(|n| n.condition == Condition::Ready) {
+    } else if snapshot.listed.values().any(|n| n.state == NodeState::Ready) {
         Answer::ok("text/plain; charset=utf-8", "ok\n")
     } else {
         Answer::error(503, "no node of the list is ready")
@@ -139,10 +139,10 @@
             node: n.node,
             shard: n.shard,
             zone: n.zone,
-            state: match n.condition {
-                Condition::Ready => "ready",
-                Condition::Draining => "draining",
-                Condition::Gone => "gone",
+            state: match n.state {
+                NodeState::Ready => "ready",
+                NodeState::Draining => "draining",
+                NodeState::Gone => "gone",
             },
             started_ms: n.started_ms,
             sent: c.sent,
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -26,7 +26,7 @@
             node: n + 10,
             shard: n as u16,
             zone: 0,
-            condition: pearfork::Condition::Ready,
+            state: pearfork::NodeState::Ready,
             started_ms: 0.0,
         };
         h.give(Input::List(pearfork::ListKind::Full, (0..3).map(node).collect()));
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Discovery's list, and the numbers under which the module knows its nodes.
 
-use pearfork::{Condition, ListKind, NodeEntry};
+use pearfork::{NodeState, ListKind, NodeEntry};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     /// The shard that it holds.
     pub block: u16,
     /// Its state.
-    pub condition: Condition,
+    pub condition: NodeState,
     /// Its last start, milliseconds of the Unix epoch; 0: long ago.
     pub born_ms: f64,
 }
@@ -78,12 +78,12 @@
     let get = |field: &'static str| v.get(field).unwrap_or(&Value::Null);
     let bad = |field: &'static str| ListFault::Line { line: number, field, found: get(field).to_string() };
     let condition = match get("health").as_str() {
-        Some("SERVING") => Condition::Ready,
-        Some("DRAINING") => Condition::Draining,
-        Some("DELETED") => Condition::Gone,
+        Some("SERVING") => NodeState::Ready,
+        Some("DRAINING") => NodeState::Draining,
+        Some("DELETED") => NodeState::Gone,
         _ => return Err(bad("health")),
     };
-    let gone = condition == Condition::Gone;
+    let gone = condition == NodeState::Gone;
     let dial = get("dial").as_str().and_then(|s| s.parse().ok());
     if dial.is_none() && !gone {
         return Err(bad("dial"));
@@ -165,10 +165,10 @@
                 }
                 known.born_ms = line.born_ms;
             }
-            if line.condition == Condition::Draining {
+            if line.condition == NodeState::Draining {
                 changed.draining.push(number);
             }
-            if line.condition == Condition::Gone {
+            if line.condition == NodeState::Gone {
                 self.retire(&line.name, &mut changed);
             } else if !known.listed {
                 known.listed = true;
@@ -178,7 +178,7 @@
                 node: number,
                 shard: line.block,
                 zone,
-                condition: line.condition,
+                state: line.condition,
                 started_ms: line.born_ms,
             });
         }
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! What clients, nodes and discovery say, good and bad.
 
 use bytes::Bytes;
-use pearfork::{Condition, ListKind, Verdict};
+use pearfork::{NodeState, ListKind, AttemptResult};
 use pearfork_platform::answer;
 use pearfork_platform::config::{ClassWord, Config, Vocabulary};
 use pearfork_platform::nodes::{self, NodeTable};
@@ -103,18 +103,18 @@
 #[test]
 fn an_answer_is_served_with_its_figures() {
     let a = answer(b"*3\r\n$3\r\nabc\r\n$14\r\nused=37,cost=4\r\n$23\r\nqueue=2,latency_ms=31.5\r\n");
-    assert_eq!((a.verdict, a.value.as_deref()), (Verdict::Served, Some(&b"abc"[..])));
-    assert_eq!((a.told.used_percent, a.told.foreign_units), (Some(37.0), 4.0));
+    assert_eq!((a.verdict, a.value.as_deref()), (AttemptResult::Served, Some(&b"abc"[..])));
+    assert_eq!((a.told.used_percent, a.told.other_hosts_units), (Some(37.0), 4.0));
     assert_eq!((a.told.queue, a.told.latency_ms, a.told.in_flight), (Some(2.0), Some(31.5), None));
     let plain = answer(b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n");
-    assert_eq!((plain.verdict, plain.told), (Verdict::Served, Default::default()));
+    assert_eq!((plain.verdict, plain.told), (AttemptResult::Served, Default::default()));
 }
 
 /// A figure that can't be read costs the figure, not the answer.
 #[test]
 fn figures_that_cannot_be_read_are_as_if_not_there() {
     let a = answer(b"*3\r\n$3\r\nabc\r\n$9\r\nused=many\r\n$17\r\nqueue=-4,\xff,util=x\r\n");
-    assert_eq!((a.verdict, a.told), (Verdict::Served, Default::default()));
+    assert_eq!((a.verdict, a.told), (AttemptResult::Served, Default::default()));
     let a = answer(b"*3\r\n$3\r\nabc\r\n$-1\r\n$20\r\nqueue=NaN,inflight=7\r\n");
     assert_eq!((a.told.queue, a.told.in_flight), (None, Some(7.0)));
 }
@@ -122,9 +122,9 @@
 #[test]
 fn errors_tell_apart_what_ran_and_what_never_did() {
     let a = answer(b"-ERR failed used=12 queue=3\r\n");
-    assert_eq!((a.verdict, a.told.used_percent, a.told.queue), (Verdict::Error, Some(12.0), Some(3.0)));
-    assert_eq!(answer(b"-BUSY\r\n").verdict, Verdict::Full);
-    assert_eq!(answer(b"-BUSYBODY\r\n").verdict, Verdict::Error);
+    assert_eq!((a.verdict, a.told.used_percent, a.told.queue), (AttemptResult::Error, Some(12.0), Some(3.0)));
+    assert_eq!(answer(b"-BUSY\r\n").verdict, AttemptResult::Rejected);
+    assert_eq!(answer(b"-BUSYBODY\r\n").verdict, AttemptResult::Error);
 }
 
 /// Danger: a client given anything but its value counts as served, and its request is lost.
@@ -141,9 +141,9 @@
     ];
     for bytes in spoilt {
         let a = answer(bytes);
-        assert_eq!((a.verdict, a.value), (Verdict::Error, None), "{}", String::from_utf8_lossy(bytes));
+        assert_eq!((a.verdict, a.value), (AttemptResult::Error, None), "{}", String::from_utf8_lossy(bytes));
     }
-    assert_eq!(answer::read(Reply::Array(None)).verdict, Verdict::Error);
+    assert_eq!(answer::read(Reply::Array(None)).verdict, AttemptResult::Error);
 }
 
 fn list(seq: u64, whole: bool, lines: &[(&str, &str, &str, u64)]) -> nodes::Listing {
@@ -170,7 +170,7 @@
     let dial = |node_table: &NodeTable, node| node_table.dial(node).map(|d| d.to_string());
     assert_eq!([na, nb].map(|n| dial(&node_table, n).unwrap()), ["127.0.0.1:1", "127.0.0.1:2"]);
     let (entries, _) = node_table.take(&list(2, false, &[("s-b", "127.0.0.1:2", "DRAINING", 5)]));
-    assert_eq!((entries[0].node, entries[0].condition), (nb, Condition::Draining));
+    assert_eq!((entries[0].node, entries[0].state), (nb, NodeState::Draining));
     // Missing from a whole list: gone. Back again: the number that it had.
     let (_, changed) = node_table.take(&list(3, true, &[a]));
     assert_eq!(changed.left, [nb]);
@@ -181,7 +181,7 @@
     // Danger: a change of one line that has the others' addresses forgotten makes their nodes unreachable.
     assert_eq!([na, nb].map(|n| dial(&node_table, n).unwrap()), ["127.0.0.1:9", "127.0.0.1:2"]);
     let (entries, changed) = node_table.take(&list(6, false, &[("s-a", "127.0.0.1:9", "DELETED", 70)]));
-    assert_eq!((entries[0].condition, changed.left), (Condition::Gone, vec![na]));
+    assert_eq!((entries[0].state, changed.left), (NodeState::Gone, vec![na]));
 }
 
 /// Danger: a day on which every node is replaced for ever under new names would fill memory.
--- a/crates/scale/src/child.rs
+++ b/crates/scale/src/child.rs
@@ -4,7 +4,7 @@
 use crate::hollow::{HollowUser, MoveTimes, RunClock};
 use crate::size::Size;
 use pearfork::{
-    Action, Class, Condition, Effect, Event, Group, ListKind, NodeEntry, Plan, Scheduler, Settings, Terms,
+    Action, Class, NodeState, Effect, Event, Group, ListKind, NodeEntry, Plan, Scheduler, Settings, AttemptPolicy,
 };
 use pearfork_fleet::{FaultInjection, Fleet, FleetError, FleetPlan, TrafficCounts, VoterAddress};
 use pearfork_ledger::{Fraction, HostNumber, Times};
@@ -167,10 +167,10 @@
         group: Group::All,
         window_ms: 0.0,
         ordered: false,
-        terms: Terms::default(),
+        attempt_policy: AttemptPolicy::default(),
     };
     let plan =
-        Plan { nominal: 10.0, reserve: 5.0, weight: 1.0, pays: 1.0, limit: 0.0, burst: 0.0, slack: 0.0 };
+        Plan { nominal: 10.0, reserve: 5.0, weight: 1.0, worth_factor: 1.0, limit: 0.0, burst: 0.0, slack: 0.0 };
     Settings {
         hosts: size.hosts,
         classes: vec![class],
@@ -179,9 +179,9 @@
         round_ms: 2.0,
         max_attempts: 4,
         cancel: true,
-        second_copies: false,
+        hedging: false,
         max_retry_after_ms: 1_000.0,
-        extra: None,
+        retry_budget: None,
         drain_grace_ms: 2_000.0,
         cold_from: 0.2,
         warm_after_ms: 15_000.0,
@@ -202,7 +202,7 @@
         node,
         shard: node as u16,
         zone: 0,
-        condition: Condition::Ready,
+        state: NodeState::Ready,
         started_ms: -1e6,
     };
     (0..nodes).map(entry).collect()
@@ -223,7 +223,7 @@
             let settings = scheduler_settings(&assignment.size);
             let mut scheduler = Scheduler::new(settings, u64::from(host))
                 .map_err(|why| ChildError::Settings(why.to_string()))?;
-            let list = Event::List(ListKind::Full, node_list(assignment.size.nodes));
+            let list = Event::NodeList(ListKind::Full, node_list(assignment.size.nodes));
             let mut actions = Vec::new();
             scheduler.handle(clock.now_ms(), list, &mut actions);
             let timers = timers(actions).collect();
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -6,8 +6,8 @@
 use crate::tally::Tally;
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use pearfork::{ListKind, Verdict};
-use pearfork_drive::{AttemptId, Driver, Step, Told};
+use pearfork::{ListKind, AttemptResult};
+use pearfork_drive::{AttemptId, Driver, Step, NodeReport};
 use pearfork_net::{lock, Clock};
 use pearfork_platform::answer::Answer;
 use pearfork_platform::clients::{ClientId, ClientTable};
@@ -135,7 +135,7 @@
             let last = self.work.last.filter(|_| !self.work.open.is_empty());
             let rested = self.pool.next_due();
             let again = self.work.again.front().map(|open| open.at);
-            let due = self.driver.next_due().into_iter().chain(begun).chain(last).chain(rested).chain(again);
+            let due = self.driver.next_timer().into_iter().chain(begun).chain(last).chain(rested).chain(again);
             let due = due.fold(sweep, f64::min);
             let first = match messages.recv_deadline(self.clock.instant(due)) {
                 Ok(m) => Some(m),
@@ -152,7 +152,7 @@
             }
             let now = self.clock.now_ms();
             let mut steps = std::mem::take(&mut self.work.steps);
-            self.driver.ring(now, &mut steps);
+            self.driver.run_timers(now, &mut steps);
             self.work.steps = steps;
             self.settle();
             self.too_long(now);
@@ -170,7 +170,7 @@
                 tell = now + TELL_MS;
                 let (clients, links) = (lock(&self.table).held(), self.pool.held());
                 let line = self.work.tally.line();
-                tracing::info!(clients, links, open = self.driver.open(), out = self.driver.out(), "{line}");
+                tracing::info!(clients, links, open = self.driver.open_requests(), out = self.driver.attempts_in_flight(), "{line}");
             }
         }
     }
@@ -228,13 +228,13 @@
                 let never = self.pool.last_written(link, unsent);
                 for attempt in self.pool.closed(link, &mut self.work.todo) {
                     let verdict =
-                        if never.contains(&attempt) { Verdict::ConnectFailed } else { Verdict::Reset };
+                        if never.contains(&attempt) { AttemptResult::ConnectFailed } else { AttemptResult::Reset };
                     self.lost(now, attempt, verdict);
                 }
             }
             Message::List(list) => self.list(&list, NodeTable::kind(&list)),
             Message::Leave(last) => self.work.last = Some(now + last.as_secs_f64() * 1_000.0),
-            Message::Open(to) => drop(to.try_send(self.driver.open())),
+            Message::Open(to) => drop(to.try_send(self.driver.open_requests())),
             Message::Stop => {}
         }
     }
@@ -258,9 +258,9 @@
             self.reply(&client, slot, write::bytes(|out| write::error(out, "ERR id is in use")));
             return;
         }
-        let id = self.driver.allot();
+        let id = self.driver.allocate_id();
         let until = at + asked.wait_ms;
-        self.driver.request(asked.request(id, self.work.last.map_or(until, |last| until.min(last))));
+        self.driver.submit(asked.request(id, self.work.last.map_or(until, |last| until.min(last))));
         tracing::debug!(
             request = id,
             id = %asked.id.escape_ascii(),
@@ -289,13 +289,13 @@
 
     /// A request that nobody waits for any more: what has not gone out for it does not go out.
     fn take_back(&mut self, id: u32) {
-        for attempt in self.driver.out_of(id) {
+        for attempt in self.driver.attempts_of(id) {
             let Some(node) = self.driver.node_of(attempt) else { continue };
             let place = self.pool.place_of(attempt);
             let link = place.and_then(|(link, behind)| Some((self.work.links.get(&link)?, behind)));
             let unsent = link.is_none_or(|(link, behind)| link.is_unsent(behind));
             if unsent && self.unwanted(attempt, node) {
-                self.lost(self.clock.now_ms(), attempt, Verdict::Moot);
+                self.lost(self.clock.now_ms(), attempt, AttemptResult::NotSent);
             }
         }
     }
@@ -333,14 +333,14 @@
     }
 
     /// An attempt ended without a node's word.
-    fn lost(&mut self, at: f64, attempt: AttemptId, verdict: Verdict) {
-        self.ended(at, attempt, Answer { verdict, value: None, told: Told::default() });
+    fn lost(&mut self, at: f64, attempt: AttemptId, verdict: AttemptResult) {
+        self.ended(at, attempt, Answer { verdict, value: None, told: NodeReport::default() });
     }
 
     /// An attempt ended by a node's word, or with its connection.
     fn ended(&mut self, at: f64, attempt: AttemptId, answer: Answer) {
         self.work.until.remove(&attempt);
-        if !self.driver.is_out(attempt) {
+        if !self.driver.is_in_flight(attempt) {
             return;
         }
         self.work.tally.ended(answer.verdict);
@@ -351,7 +351,7 @@
             "attempt over"
         );
         let value = answer.value.unwrap_or_default();
-        if self.driver.ended(at, attempt, answer.verdict, answer.told) {
+        if self.driver.attempt_ended(at, attempt, answer.verdict, answer.told) {
             self.work.tally.served += 1;
             // Danger: another attempt of it that waits for a connection, or in a write buffer, would still go out.
             self.take_back(attempt.request);
@@ -383,14 +383,14 @@
                 if let Some((link, _)) = back {
                     let now = self.clock.now_ms();
                     self.pool.unsend(now, link, attempt, &mut self.work.todo);
-                    self.lost(now, attempt, Verdict::ConnectFailed);
+                    self.lost(now, attempt, AttemptResult::ConnectFailed);
                 }
             }
         }
         for node in changed.left {
             self.pool.close_idle(node, &mut self.work.todo);
         }
-        self.driver.list(kind, entries);
+        self.driver.update_node_list(kind, entries);
     }
 
     /// Carries out all that is to be done, until nothing is.
@@ -398,7 +398,7 @@
         loop {
             self.work_off();
             let mut steps = std::mem::take(&mut self.work.steps);
-            self.driver.drive(self.clock.now_ms(), &mut steps);
+            self.driver.process_events(self.clock.now_ms(), &mut steps);
             if steps.is_empty() {
                 self.work.steps = steps;
                 return;
@@ -426,13 +426,13 @@
     fn step(&mut self, step: Step) {
         let now = self.clock.now_ms();
         match step {
-            Step::Send { attempt, node, until_ms, by_ms } => {
+            Step::Send { attempt, node, deadline_ms, write_deadline_ms } => {
                 self.work.tally.sent += 1;
                 tracing::debug!(request = attempt.request, number = attempt.number, node, "attempt");
-                self.work.until.insert(attempt, (until_ms, by_ms));
+                self.work.until.insert(attempt, (deadline_ms, write_deadline_ms));
                 self.pool.send(now, node, attempt, &mut self.work.todo);
             }
-            Step::Withdrawn { attempt, node, verdict } => {
+            Step::AttemptDropped { attempt, node, result: verdict } => {
                 self.work.tally.ended(verdict);
                 self.work.until.remove(&attempt);
                 tracing::debug!(
@@ -456,9 +456,9 @@
                 tracing::debug!(request = id, %reason, "failed");
                 self.finish(id, write::bytes(|out| write::error(out, &format!("ERR failed {reason}"))));
             }
-            Step::CloseIdle(node) => self.pool.close_idle(node, &mut self.work.todo),
+            Step::CloseIdleConnections(node) => self.pool.close_idle(node, &mut self.work.todo),
             // The list is followed without being asked.
-            Step::Watch(_) | Step::ReadList => {}
+            Step::Watch(_) | Step::FetchNodeList => {}
             Step::Log(text) => tracing::info!(target: "pearfork::module", "{text}"),
         }
     }
@@ -475,7 +475,7 @@
                 self.work.links.remove(&link);
                 self.nodes.close(link);
             }
-            Do::NeverSent(attempt) => self.lost(now, attempt, Verdict::ConnectFailed),
+            Do::NeverSent(attempt) => self.lost(now, attempt, AttemptResult::ConnectFailed),
         }
     }
 
@@ -486,7 +486,7 @@
         let times = self.work.until.get(&attempt).filter(|(_, by)| now < *by);
         let here = open.is_some();
         let (Some(open), Some((until, _)), Some(node)) = (open, times, self.driver.node_of(attempt)) else {
-            let verdict = if here { Verdict::ConnectFailed } else { Verdict::Moot };
+            let verdict = if here { AttemptResult::ConnectFailed } else { AttemptResult::NotSent };
             self.pool.unsend(now, link, attempt, &mut self.work.todo);
             return self.lost(now, attempt, verdict);
         };
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -4,8 +4,8 @@
 use crate::pauses::Pauses;
 use bytes::Bytes;
 use crossbeam_channel::Sender;
-use pearfork::Verdict;
-use pearfork_drive::Told;
+use pearfork::AttemptResult;
+use pearfork_drive::NodeReport;
 use pearfork_net::{begin_connect, is_shortage, lock, Clock, Flusher, Poller, Waiting, Want, WriteBuffer};
 use pearfork_platform::answer::{self, Answer};
 use pearfork_platform::pool::LinkId;
@@ -109,7 +109,7 @@
                 Err(fault) => {
                     self.out -= 1;
                     tracing::debug!(%fault, "spoilt answer");
-                    told.push(Answer { verdict: Verdict::Error, value: None, told: Told::default() });
+                    told.push(Answer { verdict: AttemptResult::Error, value: None, told: NodeReport::default() });
                     return false;
                 }
             }
--- a/crates/serving/src/tally.rs
+++ b/crates/serving/src/tally.rs
@@ -1,6 +1,6 @@
 //! What a host counts, told in its log.
 
-use pearfork::{Reason, Verdict};
+use pearfork::{Reason, AttemptResult};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -21,16 +21,16 @@
 }
 
 impl Tally {
-    pub(crate) fn ended(&mut self, verdict: Verdict) {
+    pub(crate) fn ended(&mut self, verdict: AttemptResult) {
         let word = match verdict {
-            Verdict::Served => "served",
-            Verdict::Error => "error",
-            Verdict::Full => "full",
-            Verdict::TimedOut => "timed-out",
-            Verdict::ConnectFailed => "unreached",
-            Verdict::Reset => "reset",
-            Verdict::Cancelled => "cancelled",
-            Verdict::Moot => "moot",
+            AttemptResult::Served => "served",
+            AttemptResult::Error => "error",
+            AttemptResult::Rejected => "full",
+            AttemptResult::TimedOut => "timed-out",
+            AttemptResult::ConnectFailed => "unreached",
+            AttemptResult::Reset => "reset",
+            AttemptResult::Cancelled => "cancelled",
+            AttemptResult::NotSent => "moot",
         };
         *self.ended.entry(word).or_insert(0) += 1;
     }
--- a/crates/site/src/params.rs
+++ b/crates/site/src/params.rs
@@ -1,6 +1,6 @@
 //! Reads `Params`. Unknown keys are ignored; a needed one that is missing is named in the error.
 
-use pearfork::{Class, Effect, ExtraRation, Group, Plan, Settings, Terms};
+use pearfork::{Class, Effect, RetryBudget, Group, Plan, Settings, AttemptPolicy};
 use serde_json::Value;
 
 /// Where the values of interest stand in a load report.
@@ -80,7 +80,7 @@
         group,
         window_ms,
         ordered: flag(v, "FifoByKey")?,
-        terms: Terms::default(),
+        attempt_policy: AttemptPolicy::default(),
     })
 }
 
@@ -89,7 +89,7 @@
         nominal: num_or(v, "Nominal", at, 0.0)?,
         reserve: num_or(v, "Reservation", at, 0.0)?,
         weight: num_or(v, "Weight", at, 1.0)?,
-        pays: num_or(v, "Pays", at, 1.0)?,
+        worth_factor: num_or(v, "Pays", at, 1.0)?,
         limit: num_or(v, "Cap", at, 0.0)?,
         burst: num_or(v, "Burst", at, 0.0)?,
         slack: num_or(v, "CapSlack", at, 0.0)?,
@@ -120,9 +120,9 @@
             plans.push(plan(p, &format!("Plans[{i}]."))?);
         }
     }
-    let extra = match find(v, "Safety.ResendSpanMs") {
+    let retry_budget = match find(v, "Safety.ResendSpanMs") {
         None => None,
-        Some(_) => Some(ExtraRation {
+        Some(_) => Some(RetryBudget {
             free: num_or(v, "Safety.ExtraFree", "", 0.0)?,
             ratio: num_or(v, "Safety.ExtraRatio", "", 0.0)?,
             span_ms: num(v, "Safety.ResendSpanMs", "")?,
@@ -138,9 +138,9 @@
         round_ms: num(v, "RoundMs", "")?,
         max_attempts: num(v, "Limits.MostTries", "")? as u32,
         cancel: flag(v, "Limits.Cancel")?,
-        second_copies: flag(v, "Limits.SecondCopies")?,
+        hedging: flag(v, "Limits.SecondCopies")?,
         max_retry_after_ms: retry_after,
-        extra,
+        retry_budget,
         drain_grace_ms: num(v, "Safety.StopSendingWithinMs", "")?,
         cold_from: num(v, "Safety.ColdFrom", "")?,
         warm_after_ms: num(v, "Safety.WarmAfterMs", "")?,
--- a/crates/terms/src/figures.rs
+++ b/crates/terms/src/figures.rs
@@ -58,7 +58,7 @@
             format!("{} at least", s.max_units),
         );
     }
-    if let Some(e) = s.extra {
+    if let Some(e) = s.retry_budget {
         if e.span_ms <= 0.0 {
             refuse(
                 Rule::RetryBudget,
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -7,14 +7,14 @@
 //! ```
 //! # use pearfork::*;
 //! # fn with(class: Class) -> Settings { Settings { hosts: 1, classes: vec![class], plans: vec![Plan { nominal: 1.0,
-//! #   reserve: 0.0, weight: 1.0, pays: 1.0, limit: 0.0, burst: 0.0, slack: 0.0 }], list_on_request: false, round_ms: 2.0,
-//! #   max_attempts: 4, cancel: true, second_copies: true, max_retry_after_ms: 1.0, extra: Some(ExtraRation { free: 3.0,
+//! #   reserve: 0.0, weight: 1.0, worth_factor: 1.0, limit: 0.0, burst: 0.0, slack: 0.0 }], list_on_request: false, round_ms: 2.0,
+//! #   max_attempts: 4, cancel: true, hedging: true, max_retry_after_ms: 1.0, retry_budget: Some(RetryBudget { free: 3.0,
 //! #   ratio: 0.1, span_ms: 5000.0 }), drain_grace_ms: 2000.0, cold_from: 0.2, warm_after_ms: 9000.0, fall_multiple: 2.0,
 //! #   fall_ms: 2000.0, cold_units: 40.0, key_rest_ms: 0.0, mean_units: 2.0, max_units: 6.0, share_worth: 1.0,
 //! #   spare_worth: 1.0, meter_ms: 0.0 } }
-//! let terms = Terms { second_after_ms: 50.0, ..Terms::default() };
+//! let attempt_policy = AttemptPolicy { hedge_after_ms: 50.0, ..AttemptPolicy::default() };
 //! let class = Class { aim_ms: 100.0, deadline_ms: 1000.0, worth: 1.0, late_worth: 0.0, effect: Effect::Unsafe,
-//!     group: Group::All, window_ms: 0.0, ordered: false, terms };
+//!     group: Group::All, window_ms: 0.0, ordered: false, attempt_policy };
 //! let refusals = pearfork_terms::check(&with(class), &["booking"]);
 //! assert_eq!(refusals[0].rule, pearfork_terms::Rule::NoEffectTwice);
 //! ```
--- a/crates/terms/src/routes.rs
+++ b/crates/terms/src/routes.rs
@@ -7,13 +7,13 @@
 const WINDOW_PART: f64 = 0.9;
 
 pub(crate) fn check(s: &Settings, c: &Class, refuse: &mut impl FnMut(Rule, &'static str, String, String)) {
-    let t = &c.terms;
+    let t = &c.attempt_policy;
     let attempts = if t.attempts == 0 { s.max_attempts } else { t.attempts };
     // When the last attempt would begin, at the latest.
-    let pauses = f64::from(attempts.saturating_sub(1)) * (t.pause_ms + t.spread_ms);
-    let last_begins = f64::from(attempts.saturating_sub(1)) * t.attempt_ms + pauses;
+    let pauses = f64::from(attempts.saturating_sub(1)) * (t.retry_delay_ms + t.retry_jitter_ms);
+    let last_begins = f64::from(attempts.saturating_sub(1)) * t.attempt_timeout_ms + pauses;
     let asks_more = t.attempts > 1;
-    let doubles = t.second_after_ms > 0.0;
+    let doubles = t.hedge_after_ms > 0.0;
 
     if c.aim_ms > c.deadline_ms {
         refuse(
@@ -35,22 +35,22 @@
             format!("{} at most, or a larger max_attempts", s.max_attempts),
         );
     }
-    if t.attempt_ms > c.deadline_ms {
+    if t.attempt_timeout_ms > c.deadline_ms {
         refuse(
             Rule::OneAnswer,
             "attempt",
-            format!("gives one attempt {} and has {} in all", ms(t.attempt_ms), ms(c.deadline_ms)),
+            format!("gives one attempt {} and has {} in all", ms(t.attempt_timeout_ms), ms(c.deadline_ms)),
             format!("{} at most", ms(c.deadline_ms)),
         );
-    } else if asks_more && t.attempt_ms > 0.0 && last_begins + t.attempt_ms > c.deadline_ms {
+    } else if asks_more && t.attempt_timeout_ms > 0.0 && last_begins + t.attempt_timeout_ms > c.deadline_ms {
         let each = ((c.deadline_ms - pauses) / f64::from(attempts)).max(0.0).floor();
         refuse(
             Rule::OneAnswer,
             "attempts",
             format!(
                 "asks for {attempts} attempts of {} with their pauses, {} in all, and has {}",
-                ms(t.attempt_ms),
-                ms(last_begins + t.attempt_ms),
+                ms(t.attempt_timeout_ms),
+                ms(last_begins + t.attempt_timeout_ms),
                 ms(c.deadline_ms)
             ),
             if each > 0.0 {
@@ -59,7 +59,7 @@
                 "shorter pauses, fewer attempts, or a longer deadline".to_owned()
             },
         );
-    } else if asks_more && t.attempt_ms == 0.0 && pauses >= c.deadline_ms {
+    } else if asks_more && t.attempt_timeout_ms == 0.0 && pauses >= c.deadline_ms {
         refuse(
             Rule::OneAnswer,
             "retry_pause",
@@ -71,7 +71,7 @@
     if doubles {
         double(s, c, refuse);
     }
-    if c.effect == Effect::Unsafe && asks_more && t.attempt_ms > 0.0 {
+    if c.effect == Effect::Unsafe && asks_more && t.attempt_timeout_ms > 0.0 {
         refuse(
             Rule::NoEffectTwice,
             "attempts",
@@ -81,7 +81,7 @@
     }
     if c.effect == Effect::Keyed
         && asks_more
-        && t.attempt_ms > 0.0
+        && t.attempt_timeout_ms > 0.0
         && last_begins >= c.window_ms * WINDOW_PART
     {
         refuse(
@@ -97,7 +97,7 @@
         );
     }
     // Danger: an attempt that timed out may still run while the next request on its extent does.
-    if c.ordered && t.attempt_ms > 0.0 && s.key_rest_ms <= 0.0 {
+    if c.ordered && t.attempt_timeout_ms > 0.0 && s.key_rest_ms <= 0.0 {
         refuse(
             Rule::Order,
             "attempt",
@@ -105,7 +105,7 @@
             "rules.key_rest as long as a node may still work on it, or no time-out of an attempt".to_owned(),
         );
     }
-    let budget = s.extra.map_or(f64::INFINITY, |e| if e.ratio > 0.0 { f64::INFINITY } else { e.free });
+    let budget = s.retry_budget.map_or(f64::INFINITY, |e| if e.ratio > 0.0 { f64::INFINITY } else { e.free });
     if (asks_more || doubles) && budget < 1.0 {
         refuse(
             Rule::RetryBudget,
@@ -118,7 +118,7 @@
 
 fn double(s: &Settings, c: &Class, refuse: &mut impl FnMut(Rule, &'static str, String, String)) {
     const KEY: &str = "second_copy_after";
-    let t = &c.terms;
+    let t = &c.attempt_policy;
     if c.effect == Effect::Unsafe {
         refuse(
             Rule::NoEffectTwice,
@@ -127,13 +127,13 @@
             "no second_copy_after, or an effect that permits repeats".to_owned(),
         );
     }
-    if c.effect == Effect::Keyed && t.second_after_ms >= c.window_ms * WINDOW_PART {
+    if c.effect == Effect::Keyed && t.hedge_after_ms >= c.window_ms * WINDOW_PART {
         refuse(
             Rule::NoEffectTwice,
             KEY,
             format!(
                 "sends its second copy after {}, and repeats are dropped for {}",
-                ms(t.second_after_ms),
+                ms(t.hedge_after_ms),
                 ms(c.window_ms)
             ),
             format!("less than {}", ms(c.window_ms * WINDOW_PART)),
@@ -147,14 +147,14 @@
             "no second_copy_after, or ordered = false".to_owned(),
         );
     }
-    if !s.second_copies {
+    if !s.hedging {
         refuse(
             Rule::RetryBudget,
             KEY,
             "permits a second copy, and rules.second_copies is false".to_owned(),
             "rules.second_copies = true, or no second_copy_after".to_owned(),
         );
-    } else if s.extra.is_none() {
+    } else if s.retry_budget.is_none() {
         refuse(
             Rule::RetryBudget,
             KEY,
@@ -170,12 +170,12 @@
             "attempts = 2 at least".to_owned(),
         );
     }
-    let least = if t.attempt_ms > 0.0 { t.attempt_ms.min(c.deadline_ms) } else { c.deadline_ms };
-    if t.second_after_ms >= least {
+    let least = if t.attempt_timeout_ms > 0.0 { t.attempt_timeout_ms.min(c.deadline_ms) } else { c.deadline_ms };
+    if t.hedge_after_ms >= least {
         refuse(
             Rule::OneAnswer,
             KEY,
-            format!("sends its second copy after {}, when the first is over", ms(t.second_after_ms)),
+            format!("sends its second copy after {}, when the first is over", ms(t.hedge_after_ms)),
             format!("less than {}", ms(least)),
         );
     }
--- a/crates/terms/tests/refusals.rs
+++ b/crates/terms/tests/refusals.rs
@@ -1,6 +1,6 @@
 //! Each thing that can't be had is refused under its rule, and what is said to be accepted is.
 
-use pearfork::{Class, Effect, ExtraRation, Group, Plan, Settings, Terms};
+use pearfork::{Class, Effect, RetryBudget, Group, Plan, Settings, AttemptPolicy};
 use pearfork_terms::{check, Entry, Refusal, Rule};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -15,7 +15,7 @@
         group: Group::Shard,
         window_ms: 1200.0,
         ordered: false,
-        terms: Terms { attempt_ms: 200.0, attempts: 3, ..Terms::default() },
+        attempt_policy: AttemptPolicy { attempt_timeout_ms: 200.0, attempts: 3, ..AttemptPolicy::default() },
     }
 }
 
@@ -27,7 +27,7 @@
             nominal: 10.0,
             reserve: 0.0,
             weight: 1.0,
-            pays: 1.0,
+            worth_factor: 1.0,
             limit: 10.0,
             burst: 20.0,
             slack: 0.0,
@@ -36,9 +36,9 @@
         round_ms: 2.0,
         max_attempts: 4,
         cancel: true,
-        second_copies: true,
+        hedging: true,
         max_retry_after_ms: 1000.0,
-        extra: Some(ExtraRation { free: 3.0, ratio: 0.1, span_ms: 5000.0 }),
+        retry_budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span_ms: 5000.0 }),
         drain_grace_ms: 2000.0,
         cold_from: 0.2,
         warm_after_ms: 10_000.0,
@@ -71,8 +71,8 @@
 #[test]
 fn what_can_be_had_is_not_refused() {
     assert_eq!(refusals(|_| {}), []);
-    assert_eq!(refusals(|s| s.classes[0].terms.second_after_ms = 80.0), []);
-    assert_eq!(refusals(|s| s.classes.iter_mut().for_each(|c| c.terms = Terms::default())), []);
+    assert_eq!(refusals(|s| s.classes[0].attempt_policy.hedge_after_ms = 80.0), []);
+    assert_eq!(refusals(|s| s.classes.iter_mut().for_each(|c| c.attempt_policy = AttemptPolicy::default())), []);
     assert_eq!(refusals(|s| s.classes[1].ordered = true), []);
 }
 
@@ -82,14 +82,14 @@
     type Change = fn(&mut Settings);
     let cases: Vec<(Change, Rule, &str, &str)> = vec![
         (|s| s.classes[0].aim_ms = 2000.0, OneAnswer, "aim", "an aim of 1000ms at most"),
-        (|s| s.classes[0].terms.attempt_ms = 1001.0, OneAnswer, "attempt", "1000ms at most"),
-        (|s| s.classes[0].terms.attempt_ms = 400.0, OneAnswer, "attempts", "an attempt of 333ms at most"),
-        (|s| s.classes[0].terms.pause_ms = 500.0, OneAnswer, "attempts", "shorter pauses"),
-        (|s| s.classes[0].terms.second_after_ms = 200.0, OneAnswer, "second_copy_after", "less than 200ms"),
+        (|s| s.classes[0].attempt_policy.attempt_timeout_ms = 1001.0, OneAnswer, "attempt", "1000ms at most"),
+        (|s| s.classes[0].attempt_policy.attempt_timeout_ms = 400.0, OneAnswer, "attempts", "an attempt of 333ms at most"),
+        (|s| s.classes[0].attempt_policy.retry_delay_ms = 500.0, OneAnswer, "attempts", "shorter pauses"),
+        (|s| s.classes[0].attempt_policy.hedge_after_ms = 200.0, OneAnswer, "second_copy_after", "less than 200ms"),
         (|s| s.round_ms = 600.0, OneAnswer, "round", "rounds below 500ms"),
         (|s| s.classes[1].window_ms = 400.0, NoEffectTwice, "attempts", "a longer window"),
         (
-            |s| (s.classes[0].effect, s.classes[0].terms.attempt_ms) = (Effect::Unsafe, 0.0),
+            |s| (s.classes[0].effect, s.classes[0].attempt_policy.attempt_timeout_ms) = (Effect::Unsafe, 0.0),
             NoEffectTwice,
             "",
             "",
@@ -100,9 +100,9 @@
         (|s| s.fall_multiple = 0.5, ColdNodes, "fall_multiple", "1 at least"),
         (|s| s.cold_units = 5.0, ColdNodes, "cold_units", "6 at least"),
         (|s| (s.classes[0].ordered, s.key_rest_ms) = (true, 0.0), Order, "attempt", "rules.key_rest"),
-        (|s| s.classes[0].terms.attempts = 5, RetryBudget, "attempts", "4 at most"),
+        (|s| s.classes[0].attempt_policy.attempts = 5, RetryBudget, "attempts", "4 at most"),
         (
-            |s| s.extra = Some(ExtraRation { free: 1.0, ratio: 0.0, span_ms: 0.0 }),
+            |s| s.retry_budget = Some(RetryBudget { free: 1.0, ratio: 0.0, span_ms: 0.0 }),
             RetryBudget,
             "retry_budget",
             "above 0",
@@ -126,7 +126,7 @@
 fn second_copies_are_refused_where_repeats_are_not_permitted() {
     let rules = |change: fn(&mut Settings)| {
         let told = refusals(|s| {
-            s.classes[0].terms.second_after_ms = 80.0;
+            s.classes[0].attempt_policy.hedge_after_ms = 80.0;
             change(s);
         });
         told.into_iter().map(|r| (r.rule, r.key)).collect::<Vec<_>>()
@@ -134,10 +134,10 @@
     let second = "second_copy_after";
     assert!(rules(|s| s.classes[0].effect = Effect::Unsafe).contains(&(Rule::NoEffectTwice, second)));
     assert_eq!(rules(|s| s.classes[0].ordered = true), [(Rule::Order, second)]);
-    assert_eq!(rules(|s| s.second_copies = false), [(Rule::RetryBudget, second)]);
-    assert_eq!(rules(|s| s.extra = None), [(Rule::RetryBudget, second)]);
-    assert_eq!(rules(|s| s.classes[0].terms.attempts = 1), [(Rule::RetryBudget, second)]);
-    let broke = |s: &mut Settings| s.extra = Some(ExtraRation { free: 0.5, ratio: 0.0, span_ms: 1000.0 });
+    assert_eq!(rules(|s| s.hedging = false), [(Rule::RetryBudget, second)]);
+    assert_eq!(rules(|s| s.retry_budget = None), [(Rule::RetryBudget, second)]);
+    assert_eq!(rules(|s| s.classes[0].attempt_policy.attempts = 1), [(Rule::RetryBudget, second)]);
+    let broke = |s: &mut Settings| s.retry_budget = Some(RetryBudget { free: 0.5, ratio: 0.0, span_ms: 1000.0 });
     assert!(rules(broke).iter().all(|r| r.0 == Rule::RetryBudget));
     let keyed = |s: &mut Settings| (s.classes[0].effect, s.classes[0].window_ms) = (Effect::Keyed, 85.0);
     assert!(rules(keyed).contains(&(Rule::NoEffectTwice, second)));
@@ -148,7 +148,7 @@
     let told = refusals(|s| {
         s.plans[0].burst = 1.0;
         s.cold_units = 1.0;
-        s.classes[1].terms.attempts = 9;
+        s.classes[1].attempt_policy.attempts = 9;
         s.classes[0].aim_ms = 5000.0;
     });
     let rules: Vec<Rule> = told.iter().map(|r| r.rule).collect();
@@ -173,11 +173,11 @@
     ) {
         let mut s = good();
         s.max_attempts = max;
-        s.second_copies = copies;
-        s.extra = budget.map(|(free, ratio)| ExtraRation { free, ratio, span_ms: 1000.0 });
+        s.hedging = copies;
+        s.retry_budget = budget.map(|(free, ratio)| RetryBudget { free, ratio, span_ms: 1000.0 });
         let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][effect];
-        let terms = Terms { attempt_ms: attempt, attempts, pause_ms: pause, spread_ms: spread, second_after_ms: second };
-        s.classes = vec![Class { window_ms: window, ordered, terms, ..class(effect) }];
+        let attempt_policy = AttemptPolicy { attempt_timeout_ms: attempt, attempts, retry_delay_ms: pause, retry_jitter_ms: spread, hedge_after_ms: second };
+        s.classes = vec![Class { window_ms: window, ordered, attempt_policy, ..class(effect) }];
         if check(&s, &["drawn"]).is_empty() {
             let last = f64::from(attempts.saturating_sub(1)) * (attempt + pause + spread);
             if attempts > 1 {
@@ -199,9 +199,9 @@
         (s.round_ms, s.drain_grace_ms, s.cold_from, s.fall_multiple, s.cold_units, s.max_units) =
             (f(0), f(1), f(2), f(3), f(4), f(5));
         (s.hosts, s.max_attempts) = (counts[0], counts[1]);
-        s.classes[0].terms = Terms { attempt_ms: f(6), attempts: counts[2], pause_ms: f(7), spread_ms: f(8), second_after_ms: f(9) };
+        s.classes[0].attempt_policy = AttemptPolicy { attempt_timeout_ms: f(6), attempts: counts[2], retry_delay_ms: f(7), retry_jitter_ms: f(8), hedge_after_ms: f(9) };
         (s.classes[1].window_ms, s.plans[0].burst) = (f(10), f(11));
-        s.classes[1].terms.attempts = counts[3];
+        s.classes[1].attempt_policy.attempts = counts[3];
         check(&s, &["one"]).iter().for_each(|r| drop(r.to_string()));
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! Settings, events and actions: all that passes between a host and its [`crate::Scheduler`].
 //!
 //! Times are milliseconds of the caller's clock, which has no particular origin and only advances.
-//! This file describes; decisions are taken in `rules.rs` and `envelope.rs`.
+//! This file describes; decisions are taken in `scheduler.rs` and `envelope.rs`.
 
 /// Whether repeating a request can do harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,17 +27,17 @@
 
 /// What an operator asks for the attempts of a class; by default all is left to the module.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Terms {
+pub struct AttemptPolicy {
     /// Time-out of one attempt; 0: until the client gives up.
-    pub attempt_ms: f64,
+    pub attempt_timeout_ms: f64,
     /// Attempts of one request; 0: as many as the settings allow.
     pub attempts: u32,
     /// Least pause before a further attempt.
-    pub pause_ms: f64,
+    pub retry_delay_ms: f64,
     /// Most that is added to the pause, drawn at random.
-    pub spread_ms: f64,
+    pub retry_jitter_ms: f64,
     /// One second attempt goes out beside a first that has no answer after so long; 0: none.
-    pub second_after_ms: f64,
+    pub hedge_after_ms: f64,
 }
 
 /// A class of request.
@@ -60,7 +60,7 @@
     /// Whether requests that share a data item run one at a time, in order of acceptance.
     pub ordered: bool,
     /// What is asked for its attempts.
-    pub terms: Terms,
+    pub attempt_policy: AttemptPolicy,
 }
 
 /// A plan: figures for each of its volumes, over all hosts and nodes.
@@ -73,7 +73,7 @@
     /// Part in the capacity beyond the reserves.
     pub weight: f64,
     /// Factor on worth.
-    pub pays: f64,
+    pub worth_factor: f64,
     /// Units a second at which the limit store fills; 0 for no limit.
     pub limit: f64,
     /// What the limit store holds at most.
@@ -84,7 +84,7 @@
 
 /// Ration of attempts beyond each request's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExtraRation {
+pub struct RetryBudget {
     /// Attempts allowed whatever the traffic.
     pub free: f64,
     /// Further attempts allowed for each request taken.
@@ -111,11 +111,11 @@
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
     /// Whether two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Longest retry-after that a client minds; 0 where none is passed on.
     pub max_retry_after_ms: f64,
     /// Ration of further attempts, where there is one.
-    pub extra: Option<ExtraRation>,
+    pub retry_budget: Option<RetryBudget>,
     /// Nothing new goes to a node later than this after word that it drains or is gone.
     pub drain_grace_ms: f64,
     /// Part of its capacity with which a node starts at the least.
@@ -160,9 +160,9 @@
             if !(sane(c.aim_ms) && c.aim_ms > 0.0) {
                 return bad(&format!("classes[{i}].aim_ms"));
             }
-            let t = &c.terms;
-            if ![t.attempt_ms, t.pause_ms, t.spread_ms, t.second_after_ms].into_iter().all(sane) {
-                return bad(&format!("classes[{i}].terms"));
+            let t = &c.attempt_policy;
+            if ![t.attempt_timeout_ms, t.retry_delay_ms, t.retry_jitter_ms, t.hedge_after_ms].into_iter().all(sane) {
+                return bad(&format!("classes[{i}].attempt_policy"));
             }
             if !(sane(c.deadline_ms) && c.deadline_ms > 0.0) {
                 return bad(&format!("classes[{i}].deadline_ms"));
@@ -175,7 +175,7 @@
             }
         }
         for (i, p) in self.plans.iter().enumerate() {
-            let all = [p.nominal, p.reserve, p.weight, p.pays, p.limit, p.burst, p.slack];
+            let all = [p.nominal, p.reserve, p.weight, p.worth_factor, p.limit, p.burst, p.slack];
             if !all.into_iter().all(sane) {
                 return bad(&format!("plans[{i}]"));
             }
@@ -201,7 +201,7 @@
                 return bad(name);
             }
         }
-        if let Some(e) = self.extra {
+        if let Some(e) = self.retry_budget {
             if !(sane(e.free) && sane(e.ratio) && sane(e.span_ms)) {
                 return bad("extra");
             }
@@ -227,7 +227,7 @@
 
 /// What the node list says of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Condition {
+pub enum NodeState {
     /// Withdrawn.
     #[default]
     Gone,
@@ -247,7 +247,7 @@
     /// Its zone.
     pub zone: u16,
     /// Its state.
-    pub condition: Condition,
+    pub state: NodeState,
     /// When it last started; 0 for long ago.
     pub started_ms: f64,
 }
@@ -267,13 +267,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptResult {
     /// Served.
     Served,
     /// The node answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -283,17 +283,17 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Not sent at all.
-    Moot,
+    NotSent,
 }
 
-impl Verdict {
+impl AttemptResult {
     /// Why a request is over whose last attempt ended so, without being served.
     pub(crate) fn reason(self) -> Reason {
         match self {
-            Verdict::Full => Reason::NodeFull,
-            Verdict::ConnectFailed | Verdict::Reset => Reason::Unreached,
-            Verdict::TimedOut | Verdict::Cancelled => Reason::Silent,
-            Verdict::Served | Verdict::Error | Verdict::Moot => Reason::NodeError,
+            AttemptResult::Rejected => Reason::NodeRejected,
+            AttemptResult::ConnectFailed | AttemptResult::Reset => Reason::Unreachable,
+            AttemptResult::TimedOut | AttemptResult::Cancelled => Reason::NoResponse,
+            AttemptResult::Served | AttemptResult::Error | AttemptResult::NotSent => Reason::NodeError,
         }
     }
 }
@@ -323,7 +323,7 @@
 
 /// How an attempt ended, and what the answer told besides.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     /// The request.
     pub id: u32,
     /// The attempt, counted from 0.
@@ -331,15 +331,15 @@
     /// The node.
     pub node: u32,
     /// How it ended.
-    pub verdict: Verdict,
+    pub result: AttemptResult,
     /// Time since the attempt was issued.
     pub elapsed_ms: f64,
     /// Whether the request is over.
-    pub complete: bool,
+    pub request_ended: bool,
     /// Units served for the volume everywhere in a past period, in percent of its nominal rate.
     pub used_percent: Option<f64>,
     /// Units this shard served for the volume through other hosts since its last answer here.
-    pub foreign_units: f64,
+    pub other_hosts_units: f64,
     /// Requests waiting at the node, where told.
     pub queue: Option<f64>,
     /// Requests in work or waiting at the node, where told.
@@ -354,13 +354,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The node list, or a change of it.
-    List(ListKind, Vec<NodeEntry>),
+    NodeList(ListKind, Vec<NodeEntry>),
     /// A request arrived; one final answer is owed.
     Request(Request),
     /// An attempt ended.
-    Outcome(Outcome),
+    AttemptEnded(AttemptOutcome),
     /// A streamed answer began: the request is now its client's.
-    AnswerBegan {
+    ResponseStarted {
         /// The request.
         id: u32,
     },
@@ -371,18 +371,18 @@
     },
     /// From now on this host's parts of a volume's limit are these, whatever requests say of its hosts. Parts of all
     /// hosts together must never exceed the whole, neither of the rate nor of what may be stored.
-    Part {
+    LimitShare {
         /// The volume.
         volume: u64,
         /// Its plan, by position.
         plan: u16,
         /// Its part of the rate is that of one host among so many; infinite for none.
-        hosts: f64,
+        rate_divisor: f64,
         /// The same of what may be stored.
-        burst_hosts: f64,
+        burst_divisor: f64,
         /// The same of both from `until_ms` on.
-        floor_hosts: f64,
-        /// Until when `hosts` and `burst_hosts` hold.
+        floor_divisor: f64,
+        /// Until when `rate_divisor` and `burst_divisor` hold.
         until_ms: f64,
     },
     /// Another host sent a message.
@@ -393,7 +393,7 @@
         bytes: Vec<u8>,
     },
     /// A probe came back.
-    Probed {
+    ProbeFinished {
         /// The node.
         node: u32,
         /// Whether it answered.
@@ -412,94 +412,94 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
     /// It makes no sense: an unknown class or plan, a size or time that is no number.
-    Unfit,
+    Invalid,
     /// The envelope test: with it, a class at its node would miss its aim.
     Envelope,
     /// The wait predicted from what the node reported leaves too little of an aim.
     Prediction,
     /// It gave way to a request that is worth more for its work.
-    Standing,
+    Displaced,
     /// As many are out at its node as the in-flight limit allows.
-    InFlight,
+    InFlightLimit,
     /// Its node, or every node it may go to, turned it away unseen.
-    NodeFull,
+    NodeRejected,
     /// Its node rests: it turned others away or could not be reached.
-    Rest,
+    Backoff,
     /// No node that may take it is ready: drained, gone, or not in the list.
     NoNode,
     /// Its node started a while ago and bears no more yet.
-    Cold,
+    ColdNode,
     /// Its volume is at its limit.
-    Limit,
+    VolumeLimit,
     /// The retry budget is used up.
-    Budget,
+    RetryBudget,
     /// An earlier request on its data item is not over, or its rest is not.
-    Order,
+    KeyOrder,
     /// A pause before a further attempt.
-    Pause,
+    RetryDelay,
     /// Past its aim already, it waits until nothing else is out at its node.
     Late,
     /// A further attempt could do harm, or would be one too many.
-    Repeat,
+    RetryNotAllowed,
     /// Its node answered with an error.
     NodeError,
     /// Its node could not be reached, or the connection was lost.
-    Unreached,
+    Unreachable,
     /// Its node has not answered.
-    Silent,
+    NoResponse,
 }
 
 impl Reason {
     /// All of them.
     pub const ALL: [Reason; 18] = [
-        Reason::Unfit,
+        Reason::Invalid,
         Reason::Envelope,
         Reason::Prediction,
-        Reason::Standing,
-        Reason::InFlight,
-        Reason::NodeFull,
-        Reason::Rest,
+        Reason::Displaced,
+        Reason::InFlightLimit,
+        Reason::NodeRejected,
+        Reason::Backoff,
         Reason::NoNode,
-        Reason::Cold,
-        Reason::Limit,
-        Reason::Budget,
-        Reason::Order,
-        Reason::Pause,
+        Reason::ColdNode,
+        Reason::VolumeLimit,
+        Reason::RetryBudget,
+        Reason::KeyOrder,
+        Reason::RetryDelay,
         Reason::Late,
-        Reason::Repeat,
+        Reason::RetryNotAllowed,
         Reason::NodeError,
-        Reason::Unreached,
-        Reason::Silent,
+        Reason::Unreachable,
+        Reason::NoResponse,
     ];
 
     /// A word for it, the same in metrics, logs, reports and the operators' page of reasons.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Reason::Unfit => "unfit",
+            Reason::Invalid => "unfit",
             Reason::Envelope => "envelope",
             Reason::Prediction => "prediction",
-            Reason::Standing => "standing",
-            Reason::InFlight => "in-flight",
-            Reason::NodeFull => "node-full",
-            Reason::Rest => "rest",
+            Reason::Displaced => "standing",
+            Reason::InFlightLimit => "in-flight",
+            Reason::NodeRejected => "node-full",
+            Reason::Backoff => "rest",
             Reason::NoNode => "no-node",
-            Reason::Cold => "cold",
-            Reason::Limit => "limit",
-            Reason::Budget => "budget",
-            Reason::Order => "order",
-            Reason::Pause => "pause",
+            Reason::ColdNode => "cold",
+            Reason::VolumeLimit => "limit",
+            Reason::RetryBudget => "budget",
+            Reason::KeyOrder => "order",
+            Reason::RetryDelay => "pause",
             Reason::Late => "late",
-            Reason::Repeat => "repeat",
+            Reason::RetryNotAllowed => "repeat",
             Reason::NodeError => "node-error",
-            Reason::Unreached => "unreached",
-            Reason::Silent => "silent",
+            Reason::Unreachable => "unreached",
+            Reason::NoResponse => "silent",
         }
     }
 }
 
 impl std::fmt::Display for Reason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.label())
     }
 }
 
@@ -513,9 +513,9 @@
         /// The node.
         node: u32,
         /// Time-out; 0: until the client gives up.
-        within_ms: f64,
+        timeout_ms: f64,
         /// What has not been written whole by this moment is not to be written at all; infinite for no such moment.
-        by_ms: f64,
+        write_deadline_ms: f64,
     },
     /// Final answer: refused, a retry does no harm.
     Refuse {
@@ -550,21 +550,21 @@
     /// Watch the node list, or stop watching.
     Watch(bool),
     /// Ask for the node list once.
-    ReadList,
+    FetchNodeList,
     /// Probe a node.
     Probe {
         /// The node.
         node: u32,
     },
     /// Send another host, or every host, a message.
-    Tell {
+    SendMessage {
         /// Number of the receiver; `None` for all.
         to: Option<u16>,
         /// What to send.
         bytes: Vec<u8>,
     },
     /// Close idle connections to a node.
-    CloseIdle {
+    CloseIdleConnections {
         /// The node.
         node: u32,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,10 +8,10 @@
 mod envelope;
 mod interface;
 mod node_age;
-mod rules;
+mod scheduler;
 mod state;
 mod subset;
 
 pub use interface::*;
 pub use node_age::is_restart;
-pub use rules::Scheduler;
+pub use scheduler::Scheduler;
--- a/src/rules.rs
+++ b/src/scheduler.rs
@@ -118,10 +118,10 @@
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.stood_still(now);
         match event {
-            Event::List(kind, entries) => self.on_list(now, kind, &entries, actions),
+            Event::NodeList(kind, entries) => self.on_list(now, kind, &entries, actions),
             Event::Request(q) => self.on_request(now, q, actions),
-            Event::Outcome(o) => self.on_outcome(now, &o, actions),
-            Event::AnswerBegan { id } | Event::Abandoned { id } => self.books.end(id),
+            Event::AttemptEnded(o) => self.on_outcome(now, &o, actions),
+            Event::ResponseStarted { id } | Event::Abandoned { id } => self.books.end(id),
             Event::Timer { label: TIMER_TICK } => {
                 self.books.ticking = false;
                 self.on_tick(now, actions);
@@ -131,7 +131,7 @@
                 if let Some(r) = u32::try_from(label).ok().and_then(|id| self.books.requests.get(&id)) {
                     let at_ms = r.q.valid_until_ms - 2.0 * self.settings.round_ms;
                     let late = now > r.arrived + UNSENT_PART.1 * (r.q.valid_until_ms - r.arrived);
-                    let none = matches!(self.held_by(now, r), Reason::NoNode | Reason::Cold);
+                    let none = matches!(self.held_by(now, r), Reason::NoNode | Reason::ColdNode);
                     if (r.tries > 0 || late || !none) && now < at_ms {
                         actions.push(Action::SetTimer { at_ms, label });
                     } else {
@@ -139,15 +139,15 @@
                     }
                 }
             }
-            Event::Part { volume, plan, hosts, burst_hosts, floor_hosts, until_ms } => {
-                let share = Share { hosts, burst_hosts, floor_hosts, until_ms, used: LENT_PART };
+            Event::LimitShare { volume, plan, rate_divisor, burst_divisor, floor_divisor, until_ms } => {
+                let share = Share { rate_divisor, burst_divisor, floor_divisor, until_ms, used: LENT_PART };
                 let (v, plan) = (self.books.volumes.get_mut(&volume), self.settings.plans.get(plan as usize));
                 // Guard, limits: what a part stored is kept only as far as the new part's bucket holds it.
                 if let (Some(v), Some(p), Some(old)) = (v, plan, self.books.lent.insert(volume, share)) {
                     (v.tokens, v.tokens_at) = (v.filled(now, p, old), now);
                 }
             }
-            Event::Message { .. } | Event::Probed { .. } => {}
+            Event::Message { .. } | Event::ProbeFinished { .. } => {}
         }
     }
 
@@ -161,7 +161,7 @@
         let known = usize::from(q.class) < self.settings.classes.len()
             && usize::from(q.plan) < self.settings.plans.len();
         if !known || !q.units.is_finite() || q.units < 0.0 || !q.valid_until_ms.is_finite() {
-            actions.push(Action::Refuse { id: q.id, retry_after_ms: 0.0, reason: Reason::Unfit });
+            actions.push(Action::Refuse { id: q.id, retry_after_ms: 0.0, reason: Reason::Invalid });
             return;
         }
         let all = f64::from(self.settings.hosts);
@@ -186,12 +186,12 @@
         };
         self.stand(now, q.id);
         if self.books.requests[&q.id].lot >= self.cold_chance(&self.books.nodes[&node], now) {
-            self.answer(now, q.id, 0.0, Reason::Cold, actions);
+            self.answer(now, q.id, 0.0, Reason::ColdNode, actions);
             return;
         }
         let (limited, sojourn) = (self.limit_wait(now, q.id), self.books.nodes[&node].sojourn);
         if limited > 0.0 && limited > self.worth(&self.books.requests[&q.id], sojourn, now).1 {
-            self.answer(now, q.id, limited, Reason::Limit, actions);
+            self.answer(now, q.id, limited, Reason::VolumeLimit, actions);
             return;
         }
         let predicted = self.predicted_room(now, q.id, node);
@@ -286,7 +286,7 @@
             Group::Shard => shard == n.e.shard,
         };
         let fits = |n: &Node| {
-            n.e.condition == Condition::Ready
+            n.e.state == NodeState::Ready
                 && beside != Some(n.e.node)
                 && shard.map_or(true, |s| s == n.e.shard)
                 && ran.map_or(true, |(_, shard, zone)| in_group(n, shard, zone))
@@ -408,7 +408,7 @@
     fn worth(&self, r: &Held, sojourn: f64, now: f64) -> (f64, f64) {
         let class = &self.settings.classes[usize::from(r.q.class)];
         let slack = self.aim_ends(r) - now - SURE * sojourn;
-        let worth = class.worth * self.settings.plans[usize::from(r.q.plan)].pays * r.grade;
+        let worth = class.worth * self.settings.plans[usize::from(r.q.plan)].worth_factor * r.grade;
         (worth * if slack < 0.0 { class.late_worth } else { 1.0 }, slack)
     }
 
@@ -429,7 +429,7 @@
             never_sent.map(|r| (self.worth(r, n.sojourn, now).0, r.q.id)).min_by(|a, b| a.0.total_cmp(&b.0));
         match least {
             Some((worth, victim)) if worth * GIVE_WAY < own => {
-                self.answer(now, victim, n.sojourn, Reason::Standing, actions);
+                self.answer(now, victim, n.sojourn, Reason::Displaced, actions);
                 true
             }
             _ => false,
@@ -453,7 +453,7 @@
     fn pump(&mut self, now: f64, node: u32, actions: &mut Vec<Action>) {
         loop {
             let Some(n) = self.books.nodes.get(&node) else { return };
-            if n.held.is_empty() || n.e.condition != Condition::Ready || now < n.rest_until || n.out >= TOP {
+            if n.held.is_empty() || n.e.state != NodeState::Ready || now < n.rest_until || n.out >= TOP {
                 return;
             }
             let full = n.out as f64 >= n.in_flight_limit.floor();
@@ -487,7 +487,7 @@
 
     fn send(&mut self, now: f64, node: u32, id: u32, actions: &mut Vec<Action>) {
         let again = self.books.requests.get(&id).filter(|r| r.tries > 0);
-        let by_ms = again.map_or(f64::INFINITY, |r| self.repeat_until(r));
+        let write_deadline_ms = again.map_or(f64::INFINITY, |r| self.repeat_until(r));
         let tokens = self.books.nodes.get(&node).map_or(0.0, |n| self.cold_room(n, now));
         let (Some(r), Some(n)) = (self.books.requests.get_mut(&id), self.books.nodes.get_mut(&node)) else {
             return;
@@ -522,15 +522,15 @@
         r.tries += 1;
         r.outstanding += 1;
         r.sent = now;
-        let within_ms = self.settings.classes[class].terms.attempt_ms;
-        actions.push(Action::Send { id, node, within_ms, by_ms });
+        let timeout_ms = self.settings.classes[class].attempt_policy.attempt_timeout_ms;
+        actions.push(Action::Send { id, node, timeout_ms, write_deadline_ms });
     }
 
     // ---- Outcomes --------------------------------------------------------------------------------------
 
-    fn on_outcome(&mut self, now: f64, o: &Outcome, actions: &mut Vec<Action>) {
+    fn on_outcome(&mut self, now: f64, o: &AttemptOutcome, actions: &mut Vec<Action>) {
         let Some(f) = self.books.flights.remove(&(o.id, o.attempt)) else { return };
-        let unclear = matches!(o.verdict, Verdict::TimedOut | Verdict::Reset | Verdict::Cancelled);
+        let unclear = matches!(o.result, AttemptResult::TimedOut | AttemptResult::Reset | AttemptResult::Cancelled);
         if let Some(lane) = self.books.lanes.get_mut(&f.lane) {
             lane.outstanding = lane.outstanding.saturating_sub(1);
             if unclear {
@@ -538,17 +538,17 @@
             }
         }
         self.learn(now, o, &f, actions);
-        let never_ran = matches!(o.verdict, Verdict::Full | Verdict::ConnectFailed | Verdict::Moot);
+        let never_ran = matches!(o.result, AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent);
         if let Some(r) = self.books.requests.get_mut(&o.id) {
             r.outstanding = r.outstanding.saturating_sub(1);
             if !never_ran && r.may_have_run.is_none() {
                 r.may_have_run = Some((f.sent, f.shard, f.zone));
             }
         }
-        if o.verdict == Verdict::Served || o.complete {
+        if o.result == AttemptResult::Served || o.request_ended {
             self.books.end(o.id);
         } else if let Some(r) = self.books.requests.get(&o.id) {
-            let alive = now < r.q.valid_until_ms - 2.0 * self.settings.round_ms && o.verdict != Verdict::Moot;
+            let alive = now < r.q.valid_until_ms - 2.0 * self.settings.round_ms && o.result != AttemptResult::NotSent;
             let again = alive && self.may_resend(now, r);
             let other = r.outstanding > 0;
             if again {
@@ -563,7 +563,7 @@
                 // The attempt beside it may still be served.
                 None if other => {}
                 None => {
-                    self.answer(now, o.id, 0.0, o.verdict.reason(), actions);
+                    self.answer(now, o.id, 0.0, o.result.reason(), actions);
                 }
             }
         }
@@ -574,9 +574,9 @@
     /// Spreads further attempts: what fails together must not come again together.
     fn pause(&mut self, now: f64, id: u32) {
         let Some(r) = self.books.requests.get_mut(&id) else { return };
-        let t = &self.settings.classes[usize::from(r.q.class)].terms;
-        let spread = if t.spread_ms > 0.0 { t.spread_ms * self.random.next() } else { 0.0 };
-        r.not_before = now + t.pause_ms + spread;
+        let t = &self.settings.classes[usize::from(r.q.class)].attempt_policy;
+        let spread = if t.retry_jitter_ms > 0.0 { t.retry_jitter_ms * self.random.next() } else { 0.0 };
+        r.not_before = now + t.retry_delay_ms + spread;
     }
 
     /// Second attempts for what waits longer for its first than its class bears.
@@ -619,13 +619,13 @@
     }
 
     /// What an outcome tells of its node and volume.
-    fn learn(&mut self, now: f64, o: &Outcome, f: &Flight, actions: &mut Vec<Action>) {
+    fn learn(&mut self, now: f64, o: &AttemptOutcome, f: &Flight, actions: &mut Vec<Action>) {
         let Some(n) = self.books.nodes.get_mut(&f.node) else { return };
         n.out = n.out.saturating_sub(1);
         // The wire's own figure, where it has one: a host that stood still hears of answers late.
         let took = if (0.0..now - f.sent).contains(&o.elapsed_ms) { o.elapsed_ms } else { now - f.sent };
-        let word = matches!(o.verdict, Verdict::Served | Verdict::Error | Verdict::Full);
-        let unreached = matches!(o.verdict, Verdict::ConnectFailed | Verdict::Reset);
+        let word = matches!(o.result, AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected);
+        let unreached = matches!(o.result, AttemptResult::ConnectFailed | AttemptResult::Reset);
         // Danger: links that drop now and then would bench a sound node. The resets of one moment are one
         // failure; only consecutive failures without a word count. Harm: a dead node costs a few more tries.
         if word {
@@ -644,7 +644,7 @@
         // A node that answers nothing is as full as one can be. Danger: one answer lost on its way would
         // close a sound node for seconds; what was sent later and answered clears it. Harm: so it does a
         // dear request. Kept as a load, it would be read by another slope later, as minutes.
-        if matches!(o.verdict, Verdict::TimedOut | Verdict::Cancelled) && f.sent > n.heard {
+        if matches!(o.result, AttemptResult::TimedOut | AttemptResult::Cancelled) && f.sent > n.heard {
             (n.waited, n.waited_at) = (took, now);
         }
         if !f.given_up && self.overdue(now, f) {
@@ -654,7 +654,7 @@
         if let Some(load) = told {
             n.usual_load += (1.0 - (-(now - n.load_at) / REPORT_MS).exp()) * (load - n.usual_load);
             (n.load, n.load_at) = (load, now);
-            if o.verdict == Verdict::Served {
+            if o.result == AttemptResult::Served {
                 // One dear request must not bend the line.
                 let took = took.min(self.settings.classes[f.class].aim_ms);
                 self.books.fit.add(load, took, FIT_BLEND);
@@ -666,13 +666,13 @@
                 n.slowness += BLEND * (took / self.books.paces[f.class].max(1.0) - n.slowness);
             }
         }
-        if o.verdict == Verdict::Full || n.failures >= FAILURES {
+        if o.result == AttemptResult::Rejected || n.failures >= FAILURES {
             n.in_flight_limit = (n.in_flight_limit / 2.0).max(1.0);
             // Danger: a node that turns everything away at once looks idle and draws all (a black hole),
             // whatever filled it; and the tries of all hosts keep it full. One try, then a rest.
             n.rest_until = n.rest_until.max(now + TRICKLE_MS);
         }
-        if o.verdict != Verdict::Served {
+        if o.result != AttemptResult::Served {
             return;
         }
         self.books.usual.entry(n.e.shard).or_default().add(now, f.units, USUAL_MS);
@@ -730,39 +730,39 @@
         if plan.limit > 0.0 && !r.charged {
             let filled = |v: &Volume| v.filled(now, plan, self.share(&r.q));
             if self.books.volumes.get(&r.q.volume).map_or(true, |v| filled(v) < r.q.units) {
-                return Some(Reason::Limit);
+                return Some(Reason::VolumeLimit);
             }
         }
         if self.settings.classes[usize::from(r.q.class)].ordered && r.q.key != 0 {
             if let Some(lane) = self.books.lanes.get(&r.q.key) {
                 let turn = lane.queue.front() == Some(&r.q.id);
                 if !turn || (r.tries == 0 && (lane.outstanding > 0 || now < lane.rest_until)) {
-                    return Some(Reason::Order);
+                    return Some(Reason::KeyOrder);
                 }
             }
         }
         match r.tries {
             0 => None,
-            _ if now < r.not_before => Some(Reason::Pause),
-            _ if !self.may_resend(now, r) => Some(Reason::Repeat),
-            _ => (!self.extra_left(now)).then_some(Reason::Budget),
+            _ if now < r.not_before => Some(Reason::RetryDelay),
+            _ if !self.may_resend(now, r) => Some(Reason::RetryNotAllowed),
+            _ => (!self.extra_left(now)).then_some(Reason::RetryBudget),
         }
     }
 
     /// What a request waits for that has no answer yet.
     fn held_by(&self, now: f64, r: &Held) -> Reason {
         let node = r.node.and_then(|n| self.books.nodes.get(&n));
-        let Some(n) = node.filter(|n| n.e.condition == Condition::Ready) else {
-            return if r.outstanding > 0 { Reason::Silent } else { Reason::NoNode };
+        let Some(n) = node.filter(|n| n.e.state == NodeState::Ready) else {
+            return if r.outstanding > 0 { Reason::NoResponse } else { Reason::NoNode };
         };
         let late = n.out > 0 && self.worth(r, n.sojourn, now).1 < 0.0;
         match self.barred(now, r) {
-            _ if r.outstanding > 0 => Reason::Silent,
+            _ if r.outstanding > 0 => Reason::NoResponse,
             Some(reason) => reason,
-            None if !self.bears(n, r.q.units, r.lot, now) => Reason::Cold,
-            None if now < n.rest_until => Reason::Rest,
+            None if !self.bears(n, r.q.units, r.lot, now) => Reason::ColdNode,
+            None if now < n.rest_until => Reason::Backoff,
             None if late => Reason::Late,
-            None => Reason::InFlight,
+            None => Reason::InFlightLimit,
         }
     }
 
@@ -774,14 +774,14 @@
     /// Guard, no effect twice: whether another attempt can do no harm.
     fn may_resend(&self, now: f64, r: &Held) -> bool {
         let class = &self.settings.classes[usize::from(r.q.class)];
-        let second = self.settings.second_copies && class.terms.second_after_ms > 0.0;
-        let beside = second && r.outstanding == 1 && now >= r.sent + class.terms.second_after_ms;
+        let second = self.settings.hedging && class.attempt_policy.hedge_after_ms > 0.0;
+        let beside = second && r.outstanding == 1 && now >= r.sent + class.attempt_policy.hedge_after_ms;
         (r.outstanding == 0 || beside) && now < self.repeat_until(r)
     }
 
     fn repeat_until(&self, r: &Held) -> f64 {
         let class = &self.settings.classes[usize::from(r.q.class)];
-        let (asked, most) = (class.terms.attempts, self.settings.max_attempts);
+        let (asked, most) = (class.attempt_policy.attempts, self.settings.max_attempts);
         let first = r.may_have_run.map(|(sent, ..)| sent).or((r.outstanding > 0).then_some(r.sent));
         match (class.effect, first) {
             _ if r.tries >= if asked == 0 { most } else { asked.min(most) } => f64::NEG_INFINITY,
@@ -793,7 +793,7 @@
 
     /// Guard, retry budget: further attempts over the exact window.
     fn extra_left(&self, now: f64) -> bool {
-        let Some(e) = self.settings.extra else { return true };
+        let Some(e) = self.settings.retry_budget else { return true };
         let from = now - e.span_ms;
         let taken = self.books.taken.iter().rev().take_while(|t| **t > from).count() as f64;
         let sent = self.books.extras.iter().rev().take_while(|t| **t >= from - self.settings.round_ms).count()
@@ -863,7 +863,7 @@
             let listed: HashSet<u32> = entries.iter().map(|e| e.node).collect();
             for node in self.books.nodes.keys().filter(|n| !listed.contains(n)).copied().collect::<Vec<u32>>()
             {
-                self.books.set_condition(now, node, Condition::Gone);
+                self.books.set_state(now, node, NodeState::Gone);
             }
         }
         let mut clock_moved = false;
@@ -872,13 +872,13 @@
         for e in entries {
             let started = if e.started_ms.is_finite() { e.started_ms } else { now };
             let known = self.books.nodes.get_mut(&e.node);
-            let came_back = known.as_ref().is_some_and(|n| n.e.condition != Condition::Ready);
+            let came_back = known.as_ref().is_some_and(|n| n.e.state != NodeState::Ready);
             let fresh = known.as_ref().map_or(true, |n| is_restart(started, n.e.started_ms));
             // Listed again with the start it had: it was missed by the list, not replaced.
-            if let Some(n) = known.filter(|n| !fresh && n.e.condition == Condition::Gone) {
-                n.e.condition = if kind == ListKind::Cached { Condition::Gone } else { e.condition };
+            if let Some(n) = known.filter(|n| !fresh && n.e.state == NodeState::Gone) {
+                n.e.state = if kind == ListKind::Cached { NodeState::Gone } else { e.state };
             }
-            if fresh && e.condition != Condition::Gone {
+            if fresh && e.state != NodeState::Gone {
                 let entry = NodeEntry { started_ms: started, ..*e };
                 let (up_since, is_further) = self.books.start_clock.judge(now, started);
                 clock_moved |= is_further;
@@ -903,8 +903,8 @@
                     }
                 }
             }
-            if e.condition != Condition::Ready {
-                self.books.set_condition(now, e.node, e.condition);
+            if e.state != NodeState::Ready {
+                self.books.set_state(now, e.node, e.state);
             }
         }
         if kind != ListKind::Cached {
@@ -947,7 +947,7 @@
     }
 
     fn on_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if self.settings.second_copies {
+        if self.settings.hedging {
             self.double(now);
         }
         self.give_up_lost(now, actions);
@@ -965,11 +965,11 @@
 
     /// Keeps state bounded, and forgets what is idle.
     fn sweep(&mut self, now: f64) {
-        let kept = now - self.settings.extra.map_or(0.0, |e| e.span_ms) - 2.0 * self.settings.round_ms;
+        let kept = now - self.settings.retry_budget.map_or(0.0, |e| e.span_ms) - 2.0 * self.settings.round_ms;
         self.books.taken.retain(|t| *t >= kept);
         self.books.extras.retain(|t| *t >= kept);
         self.books.lanes.retain(|_, l| !l.queue.is_empty() || l.outstanding > 0 || now < l.rest_until);
-        let lost = |n: &Node| n.e.condition == Condition::Gone && n.out == 0;
+        let lost = |n: &Node| n.e.state == NodeState::Gone && n.out == 0;
         self.books.retain_nodes(|n| !lost(n) || now - n.gone_at < FORGET_MS);
         for n in self.books.nodes.values_mut().filter(|n| n.out == 0 && n.held.is_empty()) {
             n.envelopes.release_empty(now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,9 +1,9 @@
-//! What a scheduler remembers. Plain data: every decision on it is in `rules.rs`, those of envelopes in `envelope.rs`.
+//! What a scheduler remembers. Plain data: every decision on it is in `scheduler.rs`, those of envelopes in `envelope.rs`.
 
 use crate::envelope::Envelopes;
-use crate::interface::{Condition, NodeEntry, Request};
+use crate::interface::{NodeState, NodeEntry, Request};
 use crate::node_age::{StartClock, UpSince};
-use crate::rules::{FIRST_LIMIT, FIRST_SOJOURN};
+use crate::scheduler::{FIRST_LIMIT, FIRST_SOJOURN};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A node as this host knows it.
@@ -158,25 +158,25 @@
 /// the rate, and of what may be stored.
 #[derive(Clone, Copy)]
 pub(crate) struct Share {
-    pub(crate) hosts: f64,
-    pub(crate) burst_hosts: f64,
-    pub(crate) floor_hosts: f64,
+    pub(crate) rate_divisor: f64,
+    pub(crate) burst_divisor: f64,
+    pub(crate) floor_divisor: f64,
     pub(crate) until_ms: f64,
     /// What of it is used; the rest covers clocks and rounding.
     pub(crate) used: f64,
 }
 
 impl Share {
-    pub(crate) fn for_good(hosts: f64, used: f64) -> Self {
-        Share { hosts, burst_hosts: hosts, floor_hosts: hosts, until_ms: f64::INFINITY, used }
+    pub(crate) fn for_good(rate_divisor: f64, used: f64) -> Self {
+        Share { rate_divisor, burst_divisor: rate_divisor, floor_divisor: rate_divisor, until_ms: f64::INFINITY, used }
     }
 
     /// Hosts for the rate, and for what may be stored.
     pub(crate) fn hosts_at(&self, now: f64) -> (f64, f64) {
         if now < self.until_ms {
-            (self.hosts, self.burst_hosts)
+            (self.rate_divisor, self.burst_divisor)
         } else {
-            (self.floor_hosts, self.floor_hosts)
+            (self.floor_divisor, self.floor_divisor)
         }
     }
 
@@ -290,7 +290,7 @@
     /// Nodes of a shard that take requests.
     pub(crate) fn ready_in_shard(&self, shard: u16) -> usize {
         let nodes = self.by_shard.get(&shard).into_iter().flatten().filter_map(|id| self.nodes.get(id));
-        nodes.filter(|n| n.e.condition == Condition::Ready).count()
+        nodes.filter(|n| n.e.state == NodeState::Ready).count()
     }
 
     /// Forgets the nodes that are not to be kept.
@@ -322,12 +322,12 @@
     }
 
     /// A node is no longer ready; what was held for it has no node. One that is gone stays so.
-    pub(crate) fn set_condition(&mut self, now: f64, node: u32, condition: Condition) {
+    pub(crate) fn set_state(&mut self, now: f64, node: u32, state: NodeState) {
         let Some(n) = self.nodes.get_mut(&node) else { return };
-        if n.e.condition == Condition::Gone {
+        if n.e.state == NodeState::Gone {
             return;
         }
-        n.e.condition = condition;
+        n.e.state = state;
         n.gone_at = now;
         self.unplaced.append(&mut n.held);
     }
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -14,20 +14,20 @@
 fn units_sent_to_a_restarted_node(ahead_ms: f64, known_start_ms: f64) -> f64 {
     let node = NodeEntry { started_ms: known_start_ms, ..entry(7, 0) };
     let mut host = Host::new(settings());
-    host.at(BASE_MS, Event::List(ListKind::Cached, vec![node]));
-    host.at(BASE_MS + 1.0, Event::List(ListKind::Full, vec![node]));
+    host.at(BASE_MS, Event::NodeList(ListKind::Cached, vec![node]));
+    host.at(BASE_MS + 1.0, Event::NodeList(ListKind::Full, vec![node]));
     for second in 1..4 {
-        host.on_to(BASE_MS + f64::from(second) * 1_000.0, Event::List(ListKind::Changes, Vec::new()));
+        host.on_to(BASE_MS + f64::from(second) * 1_000.0, Event::NodeList(ListKind::Changes, Vec::new()));
     }
     let now = BASE_MS + 4_000.0;
     let restarted = NodeEntry { started_ms: now - 200.0 - ahead_ms, ..node };
-    host.on_to(now, Event::List(ListKind::Changes, vec![restarted]));
+    host.on_to(now, Event::NodeList(ListKind::Changes, vec![restarted]));
     let mut units = 0.0;
     for id in 0..40 {
         let at = now + 1.0 + f64::from(id) * 10.0;
         for (id, _) in sent(&host.at(at, Event::Request(request(id, at + 900.0)))) {
             units += 2.0;
-            host.at(at + 1.0, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+            host.at(at + 1.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
         }
     }
     units
@@ -54,7 +54,7 @@
 fn a_node_whose_start_lies_in_the_future_is_warm_in_its_time() {
     let node = NodeEntry { started_ms: BASE_MS + HOUR_MS, ..entry(7, 0) };
     let mut host = Host::new(settings());
-    host.at(BASE_MS, Event::List(ListKind::Full, vec![node]));
+    host.at(BASE_MS, Event::NodeList(ListKind::Full, vec![node]));
     let warm_at = BASE_MS + settings().warm_after_ms + 100.0;
     host.ring_until(warm_at);
     let mut sends = 0;
@@ -62,7 +62,7 @@
         let at = warm_at + f64::from(id) * 10.0;
         for (id, _) in sent(&host.at(at, Event::Request(request(id, at + 900.0)))) {
             sends += 1;
-            host.at(at + 1.0, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+            host.at(at + 1.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
         }
     }
     assert_eq!(sends, 40);
@@ -73,11 +73,11 @@
 fn a_restart_is_seen_though_the_clock_was_set_back_by_an_hour() {
     let known = NodeEntry { started_ms: BASE_MS - 20_000.0, ..entry(7, 0) };
     let mut host = Host::new(settings());
-    host.at(BASE_MS, Event::List(ListKind::Full, vec![known]));
-    let drains = NodeEntry { condition: Condition::Draining, ..known };
-    host.at(BASE_MS + 10.0, Event::List(ListKind::Changes, vec![drains]));
+    host.at(BASE_MS, Event::NodeList(ListKind::Full, vec![known]));
+    let drains = NodeEntry { state: NodeState::Draining, ..known };
+    host.at(BASE_MS + 10.0, Event::NodeList(ListKind::Changes, vec![drains]));
     assert!(sent(&host.at(BASE_MS + 11.0, Event::Request(request(1, BASE_MS + 5_000.0)))).is_empty());
     let restarted = NodeEntry { started_ms: BASE_MS + 1_000.0 - HOUR_MS, ..entry(7, 0) };
-    let done = host.at(BASE_MS + 1_200.0, Event::List(ListKind::Changes, vec![restarted]));
+    let done = host.at(BASE_MS + 1_200.0, Event::NodeList(ListKind::Changes, vec![restarted]));
     assert_eq!(sent(&done), [(1, 7)]);
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -238,7 +238,7 @@
             node: n.number,
             shard: i as u16,
             zone: 0,
-            condition: Condition::Ready,
+            state: NodeState::Ready,
             started_ms: n.started,
         };
         self.nodes.iter().enumerate().map(entry).collect()
@@ -335,7 +335,7 @@
 
     fn tell(&mut self, now: f64, process: usize, kind: ListKind, list: Vec<NodeEntry>) {
         self.processes[process].knows = list.iter().map(|e| e.started_ms).collect();
-        self.give(now, process, Event::List(kind, list));
+        self.give(now, process, Event::NodeList(kind, list));
     }
 
     fn tell_later(&mut self, now: f64, process: usize) {
@@ -412,11 +412,11 @@
                 }
                 What::Ring { process, label } => self.give(now, process, Event::Timer { label }),
                 What::Answer { process, id, attempt, node, took_us, served } => {
-                    let told = outcome(id, attempt, node, Verdict::ConnectFailed);
-                    let told = Outcome { elapsed_ms: took_us as f64 / 1_000.0, ..told };
+                    let told = outcome(id, attempt, node, AttemptResult::ConnectFailed);
+                    let told = AttemptOutcome { elapsed_ms: took_us as f64 / 1_000.0, ..told };
                     if self.processes[process].alive {
                         let told = if served { self.serve(now, told) } else { told };
-                        self.give(now, process, Event::Outcome(told));
+                        self.give(now, process, Event::AttemptEnded(told));
                     }
                 }
                 What::Tell { process } => self.tell(now, process, ListKind::Full, self.list()),
@@ -431,7 +431,7 @@
         self.played
     }
 
-    fn serve(&mut self, now: f64, told: Outcome) -> Outcome {
+    fn serve(&mut self, now: f64, told: AttemptOutcome) -> AttemptOutcome {
         let open = self.open.get_mut(&told.id).expect("an answer has its request");
         if open.answers == 0 {
             open.answers = 1;
@@ -440,7 +440,7 @@
         }
         let waits = (self.nodes[(told.node % SUCCESSOR) as usize].busy_until - now).max(0.0);
         let queue = Some((waits / 1_000.0 * self.of.pace / 2.0).floor());
-        Outcome { queue, complete: true, verdict: Verdict::Served, ..told }
+        AttemptOutcome { queue, request_ended: true, result: AttemptResult::Served, ..told }
     }
 
     fn change(&mut self, now: f64, change: Change) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,12 +15,12 @@
         group,
         window_ms: 1000.0,
         ordered: false,
-        terms: Terms::default(),
+        attempt_policy: AttemptPolicy::default(),
     }
 }
 
 pub fn plan() -> Plan {
-    Plan { nominal: 10.0, reserve: 0.0, weight: 1.0, pays: 1.0, limit: 0.0, burst: 0.0, slack: 0.0 }
+    Plan { nominal: 10.0, reserve: 0.0, weight: 1.0, worth_factor: 1.0, limit: 0.0, burst: 0.0, slack: 0.0 }
 }
 
 pub fn settings() -> Settings {
@@ -32,9 +32,9 @@
         round_ms: 2.0,
         max_attempts: 4,
         cancel: true,
-        second_copies: false,
+        hedging: false,
         max_retry_after_ms: 1000.0,
-        extra: None,
+        retry_budget: None,
         drain_grace_ms: 2000.0,
         cold_from: 0.2,
         warm_after_ms: 10_000.0,
@@ -51,7 +51,7 @@
 }
 
 pub fn entry(node: u32, shard: u16) -> NodeEntry {
-    NodeEntry { node, shard, zone: 0, condition: Condition::Ready, started_ms: 0.0 }
+    NodeEntry { node, shard, zone: 0, state: NodeState::Ready, started_ms: 0.0 }
 }
 
 pub fn request(id: u32, until: f64) -> Request {
@@ -68,16 +68,16 @@
     }
 }
 
-pub fn outcome(id: u32, attempt: u16, node: u32, verdict: Verdict) -> Outcome {
-    Outcome {
+pub fn outcome(id: u32, attempt: u16, node: u32, result: AttemptResult) -> AttemptOutcome {
+    AttemptOutcome {
         id,
         attempt,
         node,
-        verdict,
+        result,
         elapsed_ms: 10.0,
-        complete: verdict == Verdict::Served,
+        request_ended: result == AttemptResult::Served,
         used_percent: None,
-        foreign_units: 0.0,
+        other_hosts_units: 0.0,
         queue: None,
         in_flight: None,
         latency_ms: None,
@@ -97,7 +97,7 @@
 
     pub fn with_nodes(settings: Settings, nodes: &[NodeEntry]) -> Host {
         let mut h = Host::new(settings);
-        h.at(0.0, Event::List(ListKind::Cached, nodes.to_vec()));
+        h.at(0.0, Event::NodeList(ListKind::Cached, nodes.to_vec()));
         h
     }
 
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -22,7 +22,7 @@
     let entries = list_of(count);
     let mut host = Host::new(many_classes());
     let told = allocation_counter::measure(|| {
-        host.at(0.0, Event::List(ListKind::Full, entries));
+        host.at(0.0, Event::NodeList(ListKind::Full, entries));
     });
     usize::try_from(told.bytes_current).unwrap_or(0)
 }
@@ -43,7 +43,7 @@
     let count = 200;
     let mut host = Host::new(many_classes());
     let told = allocation_counter::measure(|| {
-        host.at(0.0, Event::List(ListKind::Full, list_of(count)));
+        host.at(0.0, Event::NodeList(ListKind::Full, list_of(count)));
         let mut now = 1_000.0;
         for id in 0..count {
             now += 5.0;
@@ -52,7 +52,7 @@
             host.ring_until(now);
             let sends = sent(&host.at(now, Event::Request(asked)));
             for (id, node) in sends {
-                host.at(now + 1.0, Event::Outcome(outcome(id, 0, node, Verdict::Served)));
+                host.at(now + 1.0, Event::AttemptEnded(outcome(id, 0, node, AttemptResult::Served)));
             }
         }
         host.ring_until(now + 120_000.0);
@@ -65,7 +65,7 @@
 /// Nodes that a host sent to, of 3,200 or fewer in 20 shards, by 3,000 requests of one second and a half each.
 fn nodes_used(count: u32, seed: u64, requests: u32) -> BTreeMap<u32, u32> {
     let mut host = Host { s: Scheduler::new(many_classes(), seed).unwrap(), timers: Vec::new() };
-    host.at(0.0, Event::List(ListKind::Full, list_of(count)));
+    host.at(0.0, Event::NodeList(ListKind::Full, list_of(count)));
     let mut used = BTreeMap::new();
     for id in 0..requests {
         let now = 1_000.0 + f64::from(id) * 7.0;
@@ -73,7 +73,7 @@
         host.ring_until(now);
         for (id, node) in sent(&host.at(now, Event::Request(Request { shard, ..request(id, now + 900.0) }))) {
             *used.entry(node).or_insert(0) += 1;
-            host.at(now + 3.0, Event::Outcome(outcome(id, 0, node, Verdict::Served)));
+            host.at(now + 3.0, Event::AttemptEnded(outcome(id, 0, node, AttemptResult::Served)));
         }
     }
     used
@@ -108,11 +108,11 @@
 #[test]
 fn a_part_that_drains_as_a_whole_costs_no_request() {
     let mut host = Host { s: Scheduler::new(many_classes(), 5).unwrap(), timers: Vec::new() };
-    host.at(0.0, Event::List(ListKind::Full, list_of(3_200)));
+    host.at(0.0, Event::NodeList(ListKind::Full, list_of(3_200)));
     let used: Vec<u32> = nodes_used(3_200, 5, 3_000).into_keys().collect();
     let drains =
-        used.iter().map(|n| NodeEntry { condition: Condition::Draining, ..entry(*n, (n % 20) as u16) });
-    host.at(500.0, Event::List(ListKind::Changes, drains.collect()));
+        used.iter().map(|n| NodeEntry { state: NodeState::Draining, ..entry(*n, (n % 20) as u16) });
+    host.at(500.0, Event::NodeList(ListKind::Changes, drains.collect()));
     for id in 0..200 {
         let now = 1_000.0 + f64::from(id) * 7.0;
         host.ring_until(now);
@@ -120,6 +120,6 @@
         let sends = sent(&host.at(now, Event::Request(Request { shard, ..request(id, now + 900.0) })));
         assert_eq!(sends.len(), 1, "request {id}");
         assert!(!used.contains(&sends[0].1), "sent to a node that drains");
-        host.at(now + 3.0, Event::Outcome(outcome(id, 0, sends[0].1, Verdict::Served)));
+        host.at(now + 3.0, Event::AttemptEnded(outcome(id, 0, sends[0].1, AttemptResult::Served)));
     }
 }
--- a/tests/lmac.rs
+++ b/tests/lmac.rs
@@ -24,7 +24,7 @@
             [(id, 7)]
         );
         h.ring_until(now + took);
-        h.at(now + took, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+        h.at(now + took, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
         now += 500.0;
     }
     fill(&mut h, now);
@@ -74,7 +74,7 @@
         h.ring_until(now);
         ask(&mut h, now, id);
         h.ring_until(now + took);
-        h.at(now + took, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+        h.at(now + took, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
     }
     // A burst within one sub-window, before which nothing waited; a moment later the envelope has seen it.
     h.ring_until(1_010.0);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -15,8 +15,8 @@
 
 fn part(part: f64, floor: f64, until_ms: f64) -> Event {
     let hosts = |p: f64| if p > 0.0 { 1.0 / p } else { f64::INFINITY };
-    let (of_rate, floor_hosts) = (hosts(part), hosts(floor));
-    Event::Part { volume: 1, plan: 0, hosts: of_rate, burst_hosts: of_rate, floor_hosts, until_ms }
+    let (of_rate, floor_divisor) = (hosts(part), hosts(floor));
+    Event::LimitShare { volume: 1, plan: 0, rate_divisor: of_rate, burst_divisor: of_rate, floor_divisor, until_ms }
 }
 
 /// Requests at a steady pace, each answered at once; units sent.
@@ -28,7 +28,7 @@
         for (_, a) in &out {
             if let Action::Send { id, node, .. } = a {
                 units += 2.0;
-                h.on_to(now, Event::Outcome(outcome(*id, 0, *node, Verdict::Served)));
+                h.on_to(now, Event::AttemptEnded(outcome(*id, 0, *node, AttemptResult::Served)));
             }
         }
         now += 10.0;
@@ -158,7 +158,7 @@
     /// Served at once; what that lets go goes now.
     fn answer(&mut self, now: f64, host: &mut Host, action: &Action) {
         let Action::Send { id, node, .. } = action else { return };
-        for a in host.at(now, Event::Outcome(outcome(*id, 0, *node, Verdict::Served))) {
+        for a in host.at(now, Event::AttemptEnded(outcome(*id, 0, *node, AttemptResult::Served))) {
             self.sent_now(now, host, &a);
         }
     }
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -41,7 +41,7 @@
 #[test]
 fn what_waits_tells_what_it_waits_for_and_is_refused_for_that_in_the_end() {
     let (mut h, held) = full(settings());
-    assert_eq!((waits(&h, 1.0, held), waits(&h, 1.0, 0)), (Some(Reason::InFlight), Some(Reason::Silent)));
+    assert_eq!((waits(&h, 1.0, held), waits(&h, 1.0, 0)), (Some(Reason::InFlightLimit), Some(Reason::NoResponse)));
     let ends = h.ring_until(2_000.0);
     let told = |id: u32| {
         ends.iter().find_map(|(_, a)| match a {
@@ -50,7 +50,7 @@
         })
     };
     // Past its aim by then, behind what its node does not answer.
-    assert_eq!((told(held), told(0)), (Some(Reason::Late), Some(Reason::Silent)));
+    assert_eq!((told(held), told(0)), (Some(Reason::Late), Some(Reason::NoResponse)));
 }
 
 #[test]
@@ -61,15 +61,15 @@
     assert_eq!(last_reason(&none.ring_until(2_000.0)), Some(Reason::NoNode));
 
     let mut cold = Host::new(settings());
-    cold.at(0.0, Event::List(ListKind::Cached, vec![entry(7, 0)]));
-    cold.at(20_000.0, Event::List(ListKind::Full, vec![NodeEntry { started_ms: 19_999.0, ..entry(7, 0) }]));
+    cold.at(0.0, Event::NodeList(ListKind::Cached, vec![entry(7, 0)]));
+    cold.at(20_000.0, Event::NodeList(ListKind::Full, vec![NodeEntry { started_ms: 19_999.0, ..entry(7, 0) }]));
     let held = (1..40).find(|id| sent(&ask(&mut cold, 20_001.0, *id)).is_empty()).expect("a bound");
-    assert_eq!(waits(&cold, 20_001.0, held), Some(Reason::Cold));
+    assert_eq!(waits(&cold, 20_001.0, held), Some(Reason::ColdNode));
 
     let mut h = Host::with_nodes(settings(), &[entry(7, 0)]);
     ask(&mut h, 1.0, 1);
-    h.at(2.0, Event::Outcome(outcome(1, 0, 7, Verdict::Full)));
-    assert_eq!(waits(&h, 2.0, 1), Some(Reason::Rest));
+    h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Rejected)));
+    assert_eq!(waits(&h, 2.0, 1), Some(Reason::Backoff));
 }
 
 #[test]
@@ -77,11 +77,11 @@
     let capped = |limit: f64| with(|s| s.plans = vec![Plan { limit, burst: 4.0, slack: 0.0, ..plan() }]);
     let mut h = Host::with_nodes(capped(100.0), &[entry(7, 0)]);
     assert!(ask(&mut h, 1.0, 1).is_empty());
-    assert_eq!(waits(&h, 1.0, 1), Some(Reason::Limit));
+    assert_eq!(waits(&h, 1.0, 1), Some(Reason::VolumeLimit));
     // What its volume can't have in time is refused at once, and told when: two units at 0.9 a second.
     let mut h = Host::with_nodes(capped(1.0), &[entry(7, 0)]);
     let refused = ask(&mut h, 1.0, 1);
-    let Some(Action::Refuse { retry_after_ms, reason: Reason::Limit, .. }) = refused.first() else {
+    let Some(Action::Refuse { retry_after_ms, reason: Reason::VolumeLimit, .. }) = refused.first() else {
         panic!("{refused:?}")
     };
     assert_eq!(*retry_after_ms, 450.0, "2.2 s, but no more than half of what the client has left");
@@ -91,52 +91,52 @@
     for id in [1, 2] {
         h.at(1.0, Event::Request(Request { key: 5, ..request(id, 900.0) }));
     }
-    assert_eq!(waits(&h, 1.0, 2), Some(Reason::Order));
+    assert_eq!(waits(&h, 1.0, 2), Some(Reason::KeyOrder));
 
-    let none_left = with(|s| s.extra = Some(ExtraRation { free: 0.0, ratio: 0.0, span_ms: 5_000.0 }));
+    let none_left = with(|s| s.retry_budget = Some(RetryBudget { free: 0.0, ratio: 0.0, span_ms: 5_000.0 }));
     let mut h = Host::with_nodes(none_left, &[entry(7, 0)]);
     ask(&mut h, 1.0, 1);
-    h.at(2.0, Event::Outcome(outcome(1, 0, 7, Verdict::Reset)));
-    assert_eq!(waits(&h, 2.0, 1), Some(Reason::Budget));
+    h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Reset)));
+    assert_eq!(waits(&h, 2.0, 1), Some(Reason::RetryBudget));
 
-    let paused = with(|s| s.classes[0].terms.pause_ms = 50.0);
+    let paused = with(|s| s.classes[0].attempt_policy.retry_delay_ms = 50.0);
     let mut h = Host::with_nodes(paused, &[entry(7, 0)]);
     ask(&mut h, 1.0, 1);
-    h.at(2.0, Event::Outcome(outcome(1, 0, 7, Verdict::Reset)));
-    assert_eq!(waits(&h, 2.0, 1), Some(Reason::Pause));
+    h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Reset)));
+    assert_eq!(waits(&h, 2.0, 1), Some(Reason::RetryDelay));
 
     // Keyed, and the nodes that know the key are about to forget it.
     let keyed = with(|s| {
         s.classes = vec![Class { window_ms: 100.0, ..class(Effect::Keyed, Group::Shard) }];
-        s.classes[0].terms.pause_ms = 200.0;
+        s.classes[0].attempt_policy.retry_delay_ms = 200.0;
     });
     let mut h = Host::with_nodes(keyed, &[entry(7, 0)]);
     ask(&mut h, 1.0, 1);
-    h.at(2.0, Event::Outcome(outcome(1, 0, 7, Verdict::Reset)));
-    assert_eq!(waits(&h, 300.0, 1), Some(Reason::Repeat));
-    assert_eq!(last_reason(&h.ring_until(2_000.0)), Some(Reason::Repeat));
+    h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Reset)));
+    assert_eq!(waits(&h, 300.0, 1), Some(Reason::RetryNotAllowed));
+    assert_eq!(last_reason(&h.ring_until(2_000.0)), Some(Reason::RetryNotAllowed));
 }
 
 #[test]
 fn the_last_attempt_of_all_tells_how_it_ended() {
-    for (verdict, want) in [
-        (Verdict::Full, Reason::NodeFull),
-        (Verdict::Error, Reason::NodeError),
-        (Verdict::Reset, Reason::Unreached),
-        (Verdict::ConnectFailed, Reason::Unreached),
-        (Verdict::TimedOut, Reason::Silent),
+    for (result, want) in [
+        (AttemptResult::Rejected, Reason::NodeRejected),
+        (AttemptResult::Error, Reason::NodeError),
+        (AttemptResult::Reset, Reason::Unreachable),
+        (AttemptResult::ConnectFailed, Reason::Unreachable),
+        (AttemptResult::TimedOut, Reason::NoResponse),
     ] {
         let mut h = Host::with_nodes(with(|s| s.max_attempts = 1), &[entry(7, 0)]);
         ask(&mut h, 1.0, 1);
         assert_eq!(
-            reason_of(&h.at(2.0, Event::Outcome(outcome(1, 0, 7, verdict)))),
+            reason_of(&h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, result)))),
             Some(want),
-            "{verdict:?}"
+            "{result:?}"
         );
     }
     let mut h = Host::with_nodes(settings(), &[entry(7, 0)]);
     let odd = h.at(1.0, Event::Request(Request { class: 9, ..request(1, 900.0) }));
-    assert_eq!(reason_of(&odd), Some(Reason::Unfit));
+    assert_eq!(reason_of(&odd), Some(Reason::Invalid));
 }
 
 #[test]
@@ -148,7 +148,7 @@
         h.ring_until(now);
         ask(&mut h, now, id);
         h.ring_until(now + 160.0);
-        h.at(now + 160.0, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+        h.at(now + 160.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
         now += 500.0;
     }
     let refused = (100..140).find_map(|id| reason_of(&ask(&mut h, now, id)));
@@ -163,8 +163,8 @@
         h.ring_until(now);
         assert_eq!(sent(&ask(&mut h, now, id)), [(id, 7)]);
         h.ring_until(now + took);
-        let told = Outcome { queue: Some(queue), elapsed_ms: took, ..outcome(id, 0, 7, Verdict::Served) };
-        h.at(now + took, Event::Outcome(told));
+        let told = AttemptOutcome { queue: Some(queue), elapsed_ms: took, ..outcome(id, 0, 7, AttemptResult::Served) };
+        h.at(now + took, Event::AttemptEnded(told));
     }
     assert_eq!(reason_of(&ask(&mut h, 30_320.0, 52)), Some(Reason::Prediction));
 
@@ -176,12 +176,12 @@
         h.ring_until(now);
         ask(&mut h, now, id);
         h.ring_until(now + 160.0);
-        h.at(now + 160.0, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+        h.at(now + 160.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
         now += 500.0;
     }
     (100..140).find(|id| reason_of(&ask(&mut h, now, *id)).is_some()).expect("a full node");
     let dear = h.at(now, Event::Request(Request { class: 1, ..request(500, now + 900.0) }));
-    assert_eq!(reason_of(&dear), Some(Reason::Standing), "{dear:?}");
+    assert_eq!(reason_of(&dear), Some(Reason::Displaced), "{dear:?}");
 }
 
 /// Danger: requests that wait for their volume's limit stood in their node's queue, so that the test was not moot there, and a
@@ -203,17 +203,17 @@
         let quiet = ask(&mut h, now, round);
         assert_eq!(sent(&quiet), [(round, 7)], "round {round}: {quiet:?}");
         done.extend(quiet);
-        waited |= h.s.waiting(now).any(|(id, reason)| id >= 10_000 && reason == Reason::Limit);
+        waited |= h.s.waiting(now).any(|(id, reason)| id >= 10_000 && reason == Reason::VolumeLimit);
         // Each answer may let another go; all are answered before the next round.
         let mut at = 0;
         while let Some(action) = done.get(at).cloned() {
             at += 1;
             if let Action::Send { id, node, .. } = action {
-                done.extend(h.at(now + 5.0, Event::Outcome(outcome(id, 0, node, Verdict::Served))));
+                done.extend(h.at(now + 5.0, Event::AttemptEnded(outcome(id, 0, node, AttemptResult::Served))));
             }
         }
         refused_flood +=
-            done.iter().filter(|a| matches!(a, Action::Refuse { reason: Reason::Limit, .. })).count();
+            done.iter().filter(|a| matches!(a, Action::Refuse { reason: Reason::VolumeLimit, .. })).count();
     }
     assert!(waited && refused_flood > 300, "the flood is held and refused by its own limit: {refused_flood}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -34,7 +34,7 @@
     let again: Vec<Action> =
         done.into_iter().map(|d| d.1).filter(|a| refused(std::slice::from_ref(a), 1)).collect();
     assert_eq!(again.len(), 1);
-    assert!(h.at(2001.0, Event::Outcome(outcome(1, 0, 7, Verdict::TimedOut))).is_empty(), "it is over");
+    assert!(h.at(2001.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::TimedOut))).is_empty(), "it is over");
 }
 
 #[test]
@@ -48,13 +48,13 @@
 fn unsafe_work_that_may_have_run_is_failed_not_refused_nor_resent() {
     let mut s = settings();
     s.classes = vec![class(Effect::Unsafe, Group::All)];
-    for (verdict, resent) in [(Verdict::Reset, false), (Verdict::Error, false), (Verdict::Full, true)] {
+    for (result, resent) in [(AttemptResult::Reset, false), (AttemptResult::Error, false), (AttemptResult::Rejected, true)] {
         let mut h = Host::with_nodes(s.clone(), &[entry(7, 0)]);
         h.at(1.0, Event::Request(request(1, 900.0)));
-        let mut done = h.at(5.0, Event::Outcome(outcome(1, 0, 7, verdict)));
-        assert_eq!(failed(&done, 1), !resent, "{verdict:?}");
+        let mut done = h.at(5.0, Event::AttemptEnded(outcome(1, 0, 7, result)));
+        assert_eq!(failed(&done, 1), !resent, "{result:?}");
         done.extend(h.ring_until(880.0).into_iter().map(|d| d.1));
-        assert_eq!(!sent(&done).is_empty(), resent, "{verdict:?}");
+        assert_eq!(!sent(&done).is_empty(), resent, "{result:?}");
         assert!(!refused(&done, 1));
     }
 }
@@ -69,26 +69,26 @@
     // Another shard may not take it once it may have run.
     let mut h = Host::with_nodes(s.clone(), &[entry(7, 0), entry(8, 1)]);
     let first = sent(&h.at(1.0, Event::Request(free)))[0].1;
-    let mut done = h.at(5.0, Event::Outcome(outcome(1, 0, first, Verdict::Error)));
+    let mut done = h.at(5.0, Event::AttemptEnded(outcome(1, 0, first, AttemptResult::Error)));
     done.extend(h.ring_until(200.0).into_iter().map(|d| d.1));
     assert_eq!(sent(&done), [(1, first)]);
     // Past the window nobody does, and it is failed.
     let mut h = Host::with_nodes(s, &[entry(7, 0)]);
     h.at(1.0, Event::Request(request(1, 900.0)));
-    let done = h.at(320.0, Event::Outcome(outcome(1, 0, 7, Verdict::Error)));
+    let done = h.at(320.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Error)));
     assert!(sent(&done).is_empty() && failed(&done, 1));
 }
 
 #[test]
 fn nothing_goes_to_a_node_that_drains_until_it_starts_afresh() {
     let mut h = Host::with_nodes(settings(), &[entry(7, 0)]);
-    let drains = NodeEntry { condition: Condition::Draining, ..entry(7, 0) };
-    h.at(10.0, Event::List(ListKind::Changes, vec![drains]));
+    let drains = NodeEntry { state: NodeState::Draining, ..entry(7, 0) };
+    h.at(10.0, Event::NodeList(ListKind::Changes, vec![drains]));
     assert!(sent(&h.at(11.0, Event::Request(request(1, 5000.0)))).is_empty());
     // An old list does not bring it back, a fresh start does.
-    assert!(sent(&h.at(12.0, Event::List(ListKind::Full, vec![entry(7, 0)]))).is_empty());
+    assert!(sent(&h.at(12.0, Event::NodeList(ListKind::Full, vec![entry(7, 0)]))).is_empty());
     let fresh = NodeEntry { started_ms: 12.0, ..entry(7, 0) };
-    assert_eq!(sent(&h.at(13.0, Event::List(ListKind::Changes, vec![fresh]))), [(1, 7)]);
+    assert_eq!(sent(&h.at(13.0, Event::NodeList(ListKind::Changes, vec![fresh]))), [(1, 7)]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
         let t = 2.0 + f64::from(id) * 10.0;
         for (i, _) in sent(&h.at(t, Event::Request(request(id, t + 900.0)))) {
             units += 2.0;
-            h.at(t + 1.0, Event::Outcome(outcome(i, 0, 7, Verdict::Served)));
+            h.at(t + 1.0, Event::AttemptEnded(outcome(i, 0, 7, AttemptResult::Served)));
         }
     }
     assert!(units > 4.0 && units <= 10.0, "{units} of 20 units for two hosts");
@@ -111,7 +111,7 @@
         let t = 20_000.0 + f64::from(id) * 10.0;
         for (i, _) in sent(&h.at(t, Event::Request(request(id, t + 900.0)))) {
             warm += 1;
-            h.at(t + 1.0, Event::Outcome(outcome(i, 0, 7, Verdict::Served)));
+            h.at(t + 1.0, Event::AttemptEnded(outcome(i, 0, 7, AttemptResult::Served)));
         }
     }
     assert_eq!(warm, 40);
@@ -131,7 +131,7 @@
         let done: Vec<Action> = h.on_to(t, Event::Request(q)).into_iter().map(|d| d.1).collect();
         for (i, _) in sent(&done) {
             units += 2.0;
-            h.at(t + 1.0, Event::Outcome(outcome(i, 0, 7, Verdict::Served)));
+            h.at(t + 1.0, Event::AttemptEnded(outcome(i, 0, 7, AttemptResult::Served)));
         }
     }
     assert!(units > 8.0 && units <= 15.0, "{units} units in 3 s at 10 a second for two hosts");
@@ -148,8 +148,8 @@
     assert!(sent(&h.at(2.0, Event::Request(q(2)))).is_empty());
     let free = Request { key: 6, ..request(3, 3000.0) };
     assert_eq!(sent(&h.at(3.0, Event::Request(free))), [(3, 7)]);
-    h.at(9.0, Event::Outcome(outcome(3, 0, 7, Verdict::Served)));
-    assert!(sent(&h.at(10.0, Event::Outcome(outcome(1, 0, 7, Verdict::TimedOut)))).is_empty());
+    h.at(9.0, Event::AttemptEnded(outcome(3, 0, 7, AttemptResult::Served)));
+    assert!(sent(&h.at(10.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::TimedOut)))).is_empty());
     let at = first_send(&mut h, 1500.0).expect("its turn");
     assert!(at >= 510.0, "rested until {at}");
 }
@@ -157,11 +157,11 @@
 #[test]
 fn further_attempts_are_counted_over_the_exact_window() {
     let mut s = settings();
-    s.extra = Some(ExtraRation { free: 1.0, ratio: 0.0, span_ms: 1000.0 });
+    s.retry_budget = Some(RetryBudget { free: 1.0, ratio: 0.0, span_ms: 1000.0 });
     let mut h = Host::with_nodes(s, &[entry(7, 0)]);
     h.at(1.0, Event::Request(request(1, 5000.0)));
-    assert_eq!(sent(&h.at(5.0, Event::Outcome(outcome(1, 0, 7, Verdict::Error)))), [(1, 7)]);
-    assert!(sent(&h.at(9.0, Event::Outcome(outcome(1, 1, 7, Verdict::Error)))).is_empty());
+    assert_eq!(sent(&h.at(5.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Error)))), [(1, 7)]);
+    assert!(sent(&h.at(9.0, Event::AttemptEnded(outcome(1, 1, 7, AttemptResult::Error)))).is_empty());
     let next = first_send(&mut h, 3000.0).expect("later");
     assert!(next > 1005.0 && next < 1030.0, "{next}");
 }
@@ -174,9 +174,9 @@
         h.at(1.0 + f64::from(id), Event::Request(request(id, 900.0)));
     }
     let fresh = NodeEntry { started_ms: 10.0, ..entry(7, 0) };
-    h.at(20.0, Event::List(ListKind::Changes, vec![fresh]));
+    h.at(20.0, Event::NodeList(ListKind::Changes, vec![fresh]));
     for id in (0..3).rev() {
-        h.at(30.0, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+        h.at(30.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
     }
 }
 
@@ -192,10 +192,10 @@
         let mut tries = [0u16; 60];
         while let Some((i, node)) = next.pop() {
             to[(node - 7) as usize] += 1;
-            let verdict = if node == 7 { Verdict::Full } else { Verdict::Served };
+            let result = if node == 7 { AttemptResult::Rejected } else { AttemptResult::Served };
             let n = tries[i as usize];
             tries[i as usize] += 1;
-            next.extend(sent(&h.at(t + 1.0, Event::Outcome(outcome(i, n, node, verdict)))));
+            next.extend(sent(&h.at(t + 1.0, Event::AttemptEnded(outcome(i, n, node, result)))));
         }
     }
     assert!(to[0] <= 3 && to[1] >= 55, "{to:?}");
@@ -204,7 +204,7 @@
 #[test]
 fn senseless_events_are_ignored() {
     let mut h = Host::with_nodes(settings(), &[entry(7, 0)]);
-    assert!(h.at(1.0, Event::Outcome(outcome(9, 0, 7, Verdict::Served))).is_empty());
+    assert!(h.at(1.0, Event::AttemptEnded(outcome(9, 0, 7, AttemptResult::Served))).is_empty());
     assert!(h.at(1.0, Event::Abandoned { id: 9 }).is_empty());
     assert!(h.at(1.0, Event::Timer { label: u64::MAX }).is_empty());
     assert!(h.at(1.0, Event::Message { from: 9, bytes: vec![1] }).is_empty());
@@ -226,10 +226,10 @@
         let t = 1.0 + f64::from(id) * 20.0;
         first_tries +=
             sent(&h.at(t, Event::Request(request(id, t + 900.0)))).iter().filter(|s| s.0 == id).count();
-        let mut verdict = if id % 3 == 0 { Verdict::Reset } else { Verdict::Served };
+        let mut result = if id % 3 == 0 { AttemptResult::Reset } else { AttemptResult::Served };
         let mut attempt = 0;
-        while !sent(&h.at(t + 5.0, Event::Outcome(outcome(id, attempt, 7, verdict)))).is_empty() {
-            (verdict, attempt) = (Verdict::Served, attempt + 1);
+        while !sent(&h.at(t + 5.0, Event::AttemptEnded(outcome(id, attempt, 7, result)))).is_empty() {
+            (result, attempt) = (AttemptResult::Served, attempt + 1);
         }
     }
     assert_eq!(first_tries, 40, "each went at once");
@@ -238,7 +238,7 @@
     for id in 100..140u32 {
         let t = 1000.0 + f64::from(id) * 20.0;
         sends += sent(&h.at(t, Event::Request(request(id, t + 900.0)))).len();
-        sends += sent(&h.at(t + 5.0, Event::Outcome(outcome(id, 0, 7, Verdict::ConnectFailed)))).len();
+        sends += sent(&h.at(t + 5.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::ConnectFailed)))).len();
     }
     assert!(sends <= 12, "{sends} sends to a dead node in 0.8 s");
 }
@@ -246,20 +246,20 @@
 #[test]
 fn a_moot_attempt_gives_back_its_own_place_in_the_ration() {
     let mut s = settings();
-    s.extra = Some(ExtraRation { free: 2.0, ratio: 0.0, span_ms: 1000.0 });
+    s.retry_budget = Some(RetryBudget { free: 2.0, ratio: 0.0, span_ms: 1000.0 });
     let mut h = Host::with_nodes(s, &[entry(7, 0)]);
     for (id, t) in [(1, 1.0), (2, 501.0)] {
         h.at(t, Event::Request(request(id, 9000.0)));
-        assert_eq!(sent(&h.at(t + 4.0, Event::Outcome(outcome(id, 0, 7, Verdict::Error)))), [(id, 7)]);
+        assert_eq!(sent(&h.at(t + 4.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Error)))), [(id, 7)]);
     }
     // The further attempt of 5 ms was moot: the one of 505 ms still counts until 1505 ms.
-    h.at(510.0, Event::Outcome(outcome(1, 1, 7, Verdict::Moot)));
-    h.at(511.0, Event::Outcome(outcome(2, 1, 7, Verdict::Served)));
+    h.at(510.0, Event::AttemptEnded(outcome(1, 1, 7, AttemptResult::NotSent)));
+    h.at(511.0, Event::AttemptEnded(outcome(2, 1, 7, AttemptResult::Served)));
     h.ring_until(1100.0);
     let mut again = 0;
     for id in [3, 4] {
         h.at(1100.0, Event::Request(request(id, 9000.0)));
-        again += sent(&h.at(1104.0, Event::Outcome(outcome(id, 0, 7, Verdict::Error)))).len();
+        again += sent(&h.at(1104.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Error)))).len();
     }
     assert_eq!(again, 1, "one of two places is taken");
 }
@@ -296,7 +296,7 @@
     let mut host = Host::new(settings());
     // Milliseconds of the Unix epoch, as on real hosts.
     let begins_at = 1.78e12;
-    host.at(begins_at, Event::List(ListKind::Full, nodes));
+    host.at(begins_at, Event::NodeList(ListKind::Full, nodes));
     let restarts_at = begins_at + 31_000.0;
     let mut answers: Vec<(f64, u32, u32)> = Vec::new();
     let (mut units, mut refusals) = (0.0, 0);
@@ -305,11 +305,11 @@
         answers.sort_by(|a, b| b.0.total_cmp(&a.0));
         while let Some((at, id, node)) = answers.last().copied().filter(|a| a.0 <= now) {
             answers.pop();
-            host.on_to(at, Event::Outcome(outcome(id, 0, node, Verdict::Served)));
+            host.on_to(at, Event::AttemptEnded(outcome(id, 0, node, AttemptResult::Served)));
         }
         if now == restarts_at {
             let restarted = NodeEntry { started_ms: now - 100.0, ..entry(2, 0) };
-            host.on_to(now, Event::List(ListKind::Changes, vec![restarted]));
+            host.on_to(now, Event::NodeList(ListKind::Changes, vec![restarted]));
         }
         for (at, action) in host.on_to(now, Event::Request(request(id, now + 900.0))) {
             refusals += usize::from(now >= restarts_at && matches!(action, Action::Refuse { .. }));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -13,8 +13,8 @@
     h.ring_until(now);
     let node = sent(&h.at(now, Event::Request(request(id, now + 900.0))))[0].1;
     h.ring_until(now + took);
-    let told = Outcome { queue, elapsed_ms: took, ..outcome(id, 0, node, Verdict::Served) };
-    h.at(now + took, Event::Outcome(told));
+    let told = AttemptOutcome { queue, elapsed_ms: took, ..outcome(id, 0, node, AttemptResult::Served) };
+    h.at(now + took, Event::AttemptEnded(told));
 }
 
 #[test]
@@ -54,7 +54,7 @@
             now += 500.0;
         }
         let fresh = NodeEntry { started_ms: now, ..entry(7, 0) };
-        h.at(now, Event::List(ListKind::Changes, vec![fresh]));
+        h.at(now, Event::NodeList(ListKind::Changes, vec![fresh]));
         let (start, mut first, mut worst) = (now, f64::INFINITY, 0.0f64);
         let mut sends: Vec<f64> = Vec::new();
         for id in 100..200 {
@@ -63,7 +63,7 @@
                 for (id, _) in sent(&[a]) {
                     first = first.min(t - start);
                     sends.push(t);
-                    h.at(t + 1.0, Event::Outcome(outcome(id, 0, 7, Verdict::Served)));
+                    h.at(t + 1.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
                 }
             }
             worst = worst.max(sends.iter().filter(|t| **t > now - 2_000.0).count() as f64);
@@ -87,12 +87,12 @@
             match a {
                 Action::Send { id, node: 8, .. } => {
                     let told =
-                        Outcome { queue: Some(f64::from(id % 2)), ..outcome(id, 0, 8, Verdict::Served) };
-                    h.at(at + 10.0 + 10.0 * f64::from(id % 2), Event::Outcome(told));
+                        AttemptOutcome { queue: Some(f64::from(id % 2)), ..outcome(id, 0, 8, AttemptResult::Served) };
+                    h.at(at + 10.0 + 10.0 * f64::from(id % 2), Event::AttemptEnded(told));
                 }
                 Action::Send { .. } => silent += 1,
                 Action::Cancel { id, attempt } => {
-                    h.at(at + 1.0, Event::Outcome(outcome(id, attempt, 7, Verdict::Cancelled)));
+                    h.at(at + 1.0, Event::AttemptEnded(outcome(id, attempt, 7, AttemptResult::Cancelled)));
                 }
                 _ => {}
             }
@@ -142,14 +142,14 @@
         now += 2.0;
         if now as u64 == 5_001 {
             let fresh = NodeEntry { started_ms: now, ..entry(7, 0) };
-            h.at(now, Event::List(ListKind::Changes, vec![fresh]));
+            h.at(now, Event::NodeList(ListKind::Changes, vec![fresh]));
         }
         let mut out = h.ring_until(now);
         while let Some(at) = due.iter().position(|d| d.0 <= now) {
             let (_, id, node, took) = due.swap_remove(at);
             let told =
-                Outcome { elapsed_ms: took, queue: Some(0.0), ..outcome(id, 0, node, Verdict::Served) };
-            out.extend(h.at(now, Event::Outcome(told)).into_iter().map(|a| (now, a)));
+                AttemptOutcome { elapsed_ms: took, queue: Some(0.0), ..outcome(id, 0, node, AttemptResult::Served) };
+            out.extend(h.at(now, Event::AttemptEnded(told)).into_iter().map(|a| (now, a)));
         }
         if now as u64 % 20 == 1 {
             id += 1;
--- a/tests/silent.rs
+++ b/tests/silent.rs
@@ -18,12 +18,12 @@
 }
 
 fn answer(h: &mut Host, now: f64, id: u32, node: u32, took: f64, queue: f64) {
-    let told = Outcome { elapsed_ms: took, queue: Some(queue), ..outcome(id, 0, node, Verdict::Served) };
-    h.on_to(now, Event::Outcome(told));
+    let told = AttemptOutcome { elapsed_ms: took, queue: Some(queue), ..outcome(id, 0, node, AttemptResult::Served) };
+    h.on_to(now, Event::AttemptEnded(told));
 }
 
 fn silent(h: &mut Host, now: f64, id: u32, node: u32) {
-    h.on_to(now, Event::Outcome(Outcome { elapsed_ms: 900.0, ..outcome(id, 0, node, Verdict::TimedOut) }));
+    h.on_to(now, Event::AttemptEnded(AttemptOutcome { elapsed_ms: 900.0, ..outcome(id, 0, node, AttemptResult::TimedOut) }));
 }
 
 /// The first of two nodes has answered twenty requests in 10 ms each, with so many waiting by its report; and the time.
@@ -125,9 +125,9 @@
         }
         while let Some(at) = due.iter().position(|d| d.0 <= now) {
             let (_, id, attempt, took) = due.swap_remove(at);
-            let verdict = if took >= 900.0 { Verdict::TimedOut } else { Verdict::Served };
-            let told = Outcome { elapsed_ms: took, queue: Some(0.0), ..outcome(id, attempt, 1, verdict) };
-            out.extend(h.at(now, Event::Outcome(told)).into_iter().map(|a| (now, a)));
+            let result = if took >= 900.0 { AttemptResult::TimedOut } else { AttemptResult::Served };
+            let told = AttemptOutcome { elapsed_ms: took, queue: Some(0.0), ..outcome(id, attempt, 1, result) };
+            out.extend(h.at(now, Event::AttemptEnded(told)).into_iter().map(|a| (now, a)));
         }
         while let Some((at, action)) = out.pop() {
             match action {
@@ -144,7 +144,7 @@
                     if age < 900.0 {
                         given_up.push(age);
                     }
-                    let told = Event::Outcome(outcome(id, attempt, 1, Verdict::Cancelled));
+                    let told = Event::AttemptEnded(outcome(id, attempt, 1, AttemptResult::Cancelled));
                     out.extend(h.at(at, told).into_iter().map(|a| (at, a)));
                 }
                 _ => {}
--- a/tests/storm.rs
+++ b/tests/storm.rs
@@ -21,7 +21,7 @@
     q: Request,
     ended: bool,
     answers: u32,
-    sends: Vec<(f64, u32, Option<Verdict>)>,
+    sends: Vec<(f64, u32, Option<AttemptResult>)>,
     failed: f64,
 }
 
@@ -40,8 +40,8 @@
     store: HashMap<u64, (f64, f64)>,
 }
 
-fn never_ran(v: Option<Verdict>) -> bool {
-    matches!(v, Some(Verdict::Full | Verdict::ConnectFailed | Verdict::Moot))
+fn never_ran(v: Option<AttemptResult>) -> bool {
+    matches!(v, Some(AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent))
 }
 
 impl Check {
@@ -52,9 +52,9 @@
     fn actions(&mut self, now: f64, actions: &[Action]) {
         for a in actions {
             match a {
-                Action::Send { id, node, within_ms, .. } => {
+                Action::Send { id, node, timeout_ms, .. } => {
                     let class = usize::from(self.requests[id].q.class);
-                    assert_eq!(*within_ms, self.s.classes[class].terms.attempt_ms);
+                    assert_eq!(*timeout_ms, self.s.classes[class].attempt_policy.attempt_timeout_ms);
                     self.send(now, *id, *node);
                 }
                 Action::Refuse { id, .. } => self.answer(now, *id, true),
@@ -80,12 +80,12 @@
         let r = self.requests.get_mut(&id).expect("a known request");
         assert!(!r.ended, "sent {id} after its end");
         let c = &self.s.classes[usize::from(r.q.class)];
-        let t = &c.terms;
+        let t = &c.attempt_policy;
         let out: Vec<f64> = r.sends.iter().filter(|s| s.2.is_none()).map(|s| s.0).collect();
-        let second = self.s.second_copies && t.second_after_ms > 0.0 && c.effect != Effect::Unsafe;
+        let second = self.s.hedging && t.hedge_after_ms > 0.0 && c.effect != Effect::Unsafe;
         match out[..] {
-            [] => assert!(r.sends.is_empty() || now >= r.failed + t.pause_ms, "{id} again before its pause"),
-            [first] => assert!(second && now >= first + t.second_after_ms, "two attempts of {id} are out"),
+            [] => assert!(r.sends.is_empty() || now >= r.failed + t.retry_delay_ms, "{id} again before its pause"),
+            [first] => assert!(second && now >= first + t.hedge_after_ms, "two attempts of {id} are out"),
             _ => panic!("three attempts of {id} are out"),
         }
         self.doubled += usize::from(!out.is_empty());
@@ -135,7 +135,7 @@
         }
         if !r.sends.is_empty() {
             self.extras.push(now);
-            if let Some(e) = self.s.extra {
+            if let Some(e) = self.s.retry_budget {
                 let n = self.extras.iter().filter(|t| **t >= now - e.span_ms).count() as f64;
                 let taken = self.taken.iter().filter(|t| **t > now - e.span_ms).count() as f64;
                 assert!(n <= e.free + e.ratio * taken, "{n} further attempts for {taken} requests");
@@ -164,15 +164,15 @@
     }
 }
 
-/// Terms of all kinds, those that make no sense among them: the rules hold whatever is asked.
-fn terms(dice: &mut Dice) -> Terms {
+/// AttemptPolicy of all kinds, those that make no sense among them: the rules hold whatever is asked.
+fn terms(dice: &mut Dice) -> AttemptPolicy {
     let mut some = |most: u64| if dice.below(2) == 0 { 0.0 } else { dice.below(most) as f64 };
-    Terms {
-        attempt_ms: some(300),
+    AttemptPolicy {
+        attempt_timeout_ms: some(300),
         attempts: some(5) as u32,
-        pause_ms: some(60),
-        spread_ms: some(60),
-        second_after_ms: 1.0 + dice.below(30) as f64,
+        retry_delay_ms: some(60),
+        retry_jitter_ms: some(60),
+        hedge_after_ms: 1.0 + dice.below(30) as f64,
     }
 }
 
@@ -189,14 +189,14 @@
     s.classes[0].ordered = dice.below(2) == 0;
     s.classes[2].ordered = dice.below(2) == 0;
     if dice.below(2) == 0 {
-        s.extra = Some(ExtraRation { free: dice.below(4) as f64, ratio: 0.15, span_ms: 3000.0 });
+        s.retry_budget = Some(RetryBudget { free: dice.below(4) as f64, ratio: 0.15, span_ms: 3000.0 });
     }
     if dice.below(2) == 0 {
         (s.plans[0].limit, s.plans[0].burst, s.plans[0].slack) = (20.0, 24.0, 2.0);
     }
     if seed % 2 == 0 {
-        s.second_copies = true;
-        s.classes.iter_mut().for_each(|c| c.terms = terms(&mut dice));
+        s.hedging = true;
+        s.classes.iter_mut().for_each(|c| c.attempt_policy = terms(&mut dice));
     }
     s.list_on_request = dice.below(2) == 0;
     let nodes: Vec<NodeEntry> = (0..6).map(|n| entry(n, Check::shard(n))).collect();
@@ -241,35 +241,35 @@
             }
             let (id, attempt) = c.out.swap_remove(dice.below(c.out.len() as u64) as usize);
             let all = [
-                Verdict::Served,
-                Verdict::Served,
-                Verdict::Served,
-                Verdict::Error,
-                Verdict::Full,
-                Verdict::TimedOut,
-                Verdict::ConnectFailed,
-                Verdict::Reset,
-                Verdict::Cancelled,
+                AttemptResult::Served,
+                AttemptResult::Served,
+                AttemptResult::Served,
+                AttemptResult::Error,
+                AttemptResult::Rejected,
+                AttemptResult::TimedOut,
+                AttemptResult::ConnectFailed,
+                AttemptResult::Reset,
+                AttemptResult::Cancelled,
             ];
-            let verdict = all[dice.below(9) as usize];
+            let result = all[dice.below(9) as usize];
             let r = c.requests.get_mut(&id).unwrap();
             let node = r.sends[usize::from(attempt)].1;
-            r.sends[usize::from(attempt)].2 = Some(verdict);
+            r.sends[usize::from(attempt)].2 = Some(result);
             r.failed = now;
-            if verdict == Verdict::Served {
+            if result == AttemptResult::Served {
                 c.served.push((now, Check::shard(node), r.q.units));
             }
-            if verdict == Verdict::Served && !r.ended {
+            if result == AttemptResult::Served && !r.ended {
                 r.ended = true;
                 r.answers += 1;
             }
-            let mut o = outcome(id, attempt, node, verdict);
-            o.complete = r.ended;
+            let mut o = outcome(id, attempt, node, result);
+            o.request_ended = r.ended;
             o.used_percent = Some(dice.below(400) as f64);
             let odd = [f64::NAN, -1.0, 1e300, f64::INFINITY, 0.0, 3.0, 40.0];
             let mut told = || (dice.below(2) == 0).then(|| odd[dice.below(7) as usize]);
             (o.queue, o.in_flight, o.latency_ms, o.util) = (told(), told(), told(), told());
-            let done = h.at(now, Event::Outcome(o));
+            let done = h.at(now, Event::AttemptEnded(o));
             c.actions(now, &done);
         }
         if dice.below(40) == 0 {
@@ -277,12 +277,12 @@
             let mut e = entry(node, Check::shard(node));
             match dice.below(3) {
                 0 => {
-                    e.condition = Condition::Draining;
+                    e.state = NodeState::Draining;
                     e.started_ms = c.started[&node];
                     c.told_off.entry(node).or_insert(now);
                 }
                 1 => {
-                    e.condition = Condition::Gone;
+                    e.state = NodeState::Gone;
                     e.started_ms = c.started[&node];
                     c.told_off.entry(node).or_insert(now);
                 }
@@ -294,11 +294,11 @@
                     c.cold.retain(|sent| sent.1 != node);
                 }
             }
-            let done = h.at(now, Event::List(ListKind::Changes, vec![e]));
+            let done = h.at(now, Event::NodeList(ListKind::Changes, vec![e]));
             c.actions(now, &done);
         }
         if dice.below(100) == 0 {
-            let done = h.at(now, Event::List(ListKind::Failed, Vec::new()));
+            let done = h.at(now, Event::NodeList(ListKind::Failed, Vec::new()));
             c.actions(now, &done);
         }
     }
