--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -1,10 +1,10 @@
-//! Checks files by the very code that a host starts by: [`HostPlan::load`] for settings, the compiler for rule files,
+//! Checks files by the very code that a host starts by: [`HostSettings::load`] for settings, the compiler for rule files,
 //! [`Day::from_toml`] for days. There is no second opinion here.
 
 pub mod request;
 
 use pearfork_day::script::Day;
-use pearfork_host::settings::{HostPlan, Overrides};
+use pearfork_host::settings::{HostSettings, Overrides};
 use pearfork_match::{Gravity, Rules};
 use serde::Serialize;
 use std::path::Path;
@@ -89,7 +89,7 @@
         });
         return verdict(Some(Kind::Day), faults, Vec::new(), summary);
     }
-    match HostPlan::load_with(path, over) {
+    match HostSettings::load_with(path, over) {
         Ok(plan) => {
             let summary = format!(
                 "{} classes and routes, {} plans, {} volumes; {}; fingerprint {}",
--- a/crates/check/src/main.rs
+++ b/crates/check/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand};
 use pearfork_check::{file_with, request};
 use pearfork_cli::{Common, Exit, Mark, Output, SettingsArguments};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_match::Gravity;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
@@ -92,8 +92,8 @@
     }
 }
 
-fn load(settings: &SettingsArguments) -> Result<HostPlan, String> {
-    HostPlan::load_with(&settings.config, &settings.over())
+fn load(settings: &SettingsArguments) -> Result<HostSettings, String> {
+    HostSettings::load_with(&settings.config, &settings.over())
         .map_err(|e| format!("the settings are refused\n{e}"))
 }
 
--- a/crates/check/src/request.rs
+++ b/crates/check/src/request.rs
@@ -1,6 +1,6 @@
 //! What the matching rules say of a request, in words.
 
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_match::{Place, Tried};
 use pearfork_scsi::{Media, MediaOp};
 use serde::Serialize;
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// A volume or operation that there is not.
-pub fn explain(plan: &HostPlan, asked: &Asked) -> Result<Answer, String> {
+pub fn explain(plan: &HostSettings, asked: &Asked) -> Result<Answer, String> {
     let named = |name: &str| asked.volume.as_deref().is_none_or(|asked| asked == name);
     let found = plan.volumes.iter().find(|v| named(&v.name));
     let v = found.ok_or_else(|| format!("there is no volume `{}`", asked.volume.as_deref().unwrap_or("")))?;
@@ -87,7 +87,7 @@
         let _ = writeln!(out, "{hidden} rows before these do not match; --all shows them");
     }
     for tried in &explained.rows[hidden..] {
-        row(&mut out, tried, |place| plan.matching.written(place));
+        row(&mut out, tried, |place| plan.matching.source_at(place));
     }
     let class = plan.class_names[usize::from(plan.matching.class_of(&fields))].clone();
     let plan_number = usize::from(plan.matching.plan_of(&fields).unwrap_or(v.plan));
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -1,6 +1,6 @@
 //! The program against a running host, a sick one, and nobody.
 
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_stand::{Fleet, FleetSpec, Recorder};
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 #[test]
 fn a_running_host_tells_its_nodes_and_volumes_and_whether_it_is_well() {
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut plan = HostPlan::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
+    let mut plan = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
     let spec = FleetSpec { count: 3, racks: 1, ..FleetSpec::default() };
-    let fleet = Fleet::start(&spec, &plan.module, anywhere, Duration::ZERO, &Recorder::off()).unwrap();
+    let fleet = Fleet::start(&spec, &plan.scheduler, anywhere, Duration::ZERO, &Recorder::off()).unwrap();
     (plan.listen, plan.http, plan.directory) = (anywhere, Some(anywhere), fleet.directory().address());
     let host = Host::start(plan).unwrap();
     let at = host.http_address().unwrap().to_string();
@@ -47,9 +47,10 @@
 #[test]
 fn a_host_that_is_asked_to_drain_says_so_goes_and_is_waited_for() {
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut plan = HostPlan::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
-    let fleet = Fleet::start(&FleetSpec::default(), &plan.module, anywhere, Duration::ZERO, &Recorder::off())
-        .unwrap();
+    let mut plan = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
+    let fleet =
+        Fleet::start(&FleetSpec::default(), &plan.scheduler, anywhere, Duration::ZERO, &Recorder::off())
+            .unwrap();
     (plan.listen, plan.http, plan.directory) = (anywhere, Some(anywhere), fleet.directory().address());
     let host = Host::start(plan).unwrap();
     let http = host.http_address().unwrap();
@@ -61,7 +62,7 @@
     let mut answer = String::new();
     std::io::Read::read_to_string(&mut plain, &mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 403"), "{answer}");
-    assert!(host.drain_asked().is_empty());
+    assert!(host.drain_requests().is_empty());
     // Nobody is drained by a hand that forgot to say whom.
     assert_eq!(ctl(&["drain"]).0, 2);
     // Asked without waiting: it says so, and stands until its owner lets it go.
@@ -71,9 +72,9 @@
     assert!(code == 1 && told.contains("draining, 0 commands open"), "{told}");
     let (code, told) = ctl(&["drain", "--host", &at, "--wait", "1", "--json=false"]);
     assert!(code == 1 && told.contains("still there: 503: draining"), "{told}");
-    assert_eq!(host.drain_asked().try_iter().count(), 1, "however often it was asked");
+    assert_eq!(host.drain_requests().try_iter().count(), 1, "however often it was asked");
     let owner = std::thread::spawn(move || {
-        host.drain_asked().recv_timeout(Duration::from_secs(10)).unwrap();
+        host.drain_requests().recv_timeout(Duration::from_secs(10)).unwrap();
         assert!(host.stop());
     });
     let (code, told) = ctl(&["drain", "--host", &at, "--json=false"]);
--- a/crates/day/benches/calm.rs
+++ b/crates/day/benches/calm.rs
@@ -7,7 +7,7 @@
 use pearfork_day::crew::InProcess;
 use pearfork_day::play;
 use pearfork_day::script::Day;
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use std::collections::BTreeMap;
 
 const HOSTS: &str = include_str!("../days/bad-day-hosts.toml");
@@ -54,7 +54,7 @@
 }
 
 fn main() {
-    let plan = HostPlan::from_toml(HOSTS).expect("settings");
+    let plan = HostSettings::from_toml(HOSTS).expect("settings");
     println!(
         "| part of the nodes' power | hosts | taken | refused % | late % | p99 of notes, ms | by reason |"
     );
--- a/crates/day/benches/retries.rs
+++ b/crates/day/benches/retries.rs
@@ -6,7 +6,7 @@
 use pearfork_day::crew::InProcess;
 use pearfork_day::script::Day;
 use pearfork_day::{play, DayResult};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::wire::NodeTag;
 use pearfork_rulecheck::{Place, What};
 
@@ -49,7 +49,7 @@
     Day::from_toml(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn settings(class_terms: &str, budget: bool, second_copies: bool) -> HostPlan {
+fn settings(class_terms: &str, budget: bool, second_copies: bool) -> HostSettings {
     let mut text = HOSTS.replace("[0, 1, 2, 3]", "[0, 1, 2]").replace("[1, 2, 3, 0]", "[1, 2, 0]");
     let name = "name = \"small-read\"\n";
     text = text.replacen(name, &format!("{name}{class_terms}\n"), 1);
@@ -58,7 +58,7 @@
     if !budget {
         text = text.lines().filter(|l| !l.starts_with("retry_budget")).collect::<Vec<_>>().join("\n");
     }
-    HostPlan::from_toml(&text).unwrap_or_else(|e| panic!("{e}"))
+    HostSettings::from_toml(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 struct Row {
--- a/crates/day/src/crew.rs
+++ b/crates/day/src/crew.rs
@@ -3,7 +3,7 @@
 use crate::play::DayError;
 use crate::script::{Day, EventKind, EventTable};
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     fn start(
         &mut self,
         day: &Day,
-        plan: &HostPlan,
+        plan: &HostSettings,
         directory: SocketAddr,
     ) -> Result<Vec<SocketAddr>, DayError>;
     /// Starts one again that was killed.
@@ -69,14 +69,14 @@
 #[derive(Default)]
 pub struct InProcess {
     hosts: Vec<Option<Host>>,
-    plans: Vec<HostPlan>,
+    plans: Vec<HostSettings>,
 }
 
 impl Crew for InProcess {
     fn start(
         &mut self,
         day: &Day,
-        plan: &HostPlan,
+        plan: &HostSettings,
         directory: SocketAddr,
     ) -> Result<Vec<SocketAddr>, DayError> {
         if let Some(e) = day.event.iter().find(|e| e.what.of_processes()) {
@@ -92,7 +92,7 @@
         for number in 0..day.day.hosts {
             let mut own = plan.clone();
             own.number = number;
-            own.module.hosts = u32::from(day.day.hosts);
+            own.scheduler.hosts = u32::from(day.day.hosts);
             for v in &mut own.volumes {
                 v.hosts = u32::from(day.day.hosts);
             }
@@ -120,7 +120,7 @@
 
     fn stall(&mut self, host: u16, span: Duration) {
         if let Some(h) = self.hosts.get(usize::from(host)).and_then(Option::as_ref) {
-            h.stand_still(span);
+            h.stall_engine(span);
         }
     }
 
--- a/crates/day/src/expect.rs
+++ b/crates/day/src/expect.rs
@@ -1,7 +1,7 @@
 //! What a day promises of a volume's use, beyond the rules: told from what came to nodes.
 
 use crate::script::ExpectTable;
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::trace::Trace;
 use serde::Serialize;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 }
 
 /// Judges a day's expectations. `began_us` is when the day's clock began in the record.
-pub fn judge(expect: &[ExpectTable], plan: &HostPlan, trace: &Trace, began_us: u64) -> Vec<Expected> {
+pub fn judge(expect: &[ExpectTable], plan: &HostSettings, trace: &Trace, began_us: u64) -> Vec<Expected> {
     // Each request draws its units at its first sending.
     let mut first: HashMap<_, (u64, u32, f64)> = HashMap::new();
     for a in &trace.attempts {
@@ -32,7 +32,7 @@
     }
     let one = |e: &ExpectTable| {
         let volume = plan.volumes.iter().find(|v| v.name == e.volume);
-        let limit = volume.map_or(0.0, |v| plan.module.plans[usize::from(v.plan)].limit);
+        let limit = volume.map_or(0.0, |v| plan.scheduler.plans[usize::from(v.plan)].limit);
         let id = volume.map_or(u32::MAX, |v| v.id.0);
         let at = |ms: f64| began_us + (ms * 1_000.0) as u64;
         let within = at(e.from.ms())..at(e.to.ms());
--- a/crates/day/src/figures.rs
+++ b/crates/day/src/figures.rs
@@ -1,15 +1,15 @@
 //! The stated figures of a plan, in the words of the checker of rules.
 
 use pearfork::{Effect, Group};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::record::{Class, ClassOf, Figures, Group as SameNodes, Repeats, Volume};
 use pearfork_rulecheck::wire::{Op, Touch};
 use pearfork_scsi::{Media, MediaOp};
 use std::sync::Arc;
 
 /// The figures that a record of hosts with this plan is judged by; `began_ms` is when it began, of the Unix epoch.
-pub fn of_plan(plan: &HostPlan, margin_ms: f64, began_ms: f64) -> Figures {
-    let m = &plan.module;
+pub fn of_plan(plan: &HostSettings, margin_ms: f64, began_ms: f64) -> Figures {
+    let m = &plan.scheduler;
     let classes = plan.class_names.iter().zip(&m.classes).map(|(name, c)| Class {
         name: name.clone(),
         deadline_ms: c.deadline_ms,
--- a/crates/day/src/judge.rs
+++ b/crates/day/src/judge.rs
@@ -1,7 +1,7 @@
 //! Judges a record by the settings that it holds.
 
 use crate::figures;
-use pearfork_host::settings::{HostPlan, SettingsFaults};
+use pearfork_host::settings::{HostSettings, HostSettingsErrors};
 use pearfork_record::Recording;
 use pearfork_rulecheck::trace::Trace;
 use pearfork_rulecheck::{check_trace, Figures, Note, Report};
@@ -12,7 +12,7 @@
 pub enum JudgeError {
     /// The settings that it was played with are refused by this version.
     #[error("the settings in the record are refused\n{0}")]
-    Settings(#[from] SettingsFaults),
+    Settings(#[from] HostSettingsErrors),
 }
 
 /// A record, put together and judged.
@@ -27,10 +27,10 @@
 }
 
 /// The seven rules over notes of hosts with a plan. In a day each volume has a unit number of its own.
-pub fn judge_notes(notes: &[Note], plan: &HostPlan, figures: Figures) -> Judged {
+pub fn judge_notes(notes: &[Note], plan: &HostSettings, figures: Figures) -> Judged {
     let volume_of = |_: u16, lun: u64| {
         let unit = unit_of(lun)?;
-        plan.volumes.iter().find(|v| v.unit_number == unit).map(|v| v.id.0)
+        plan.volumes.iter().find(|v| v.lun == unit).map(|v| v.id.0)
     };
     let trace = Trace::read(notes, &figures, &volume_of);
     Judged { report: check_trace(notes, &trace, &figures), trace, figures }
@@ -41,7 +41,7 @@
 /// # Errors
 /// They make no plan.
 pub fn judge(recording: &Recording) -> Result<Judged, JudgeError> {
-    let plan = HostPlan::from_toml(&recording.head.settings)?;
+    let plan = HostSettings::from_toml(&recording.head.settings)?;
     let figures = figures::of_plan(&plan, recording.head.margin_ms, recording.head.began_ms);
     Ok(judge_notes(&recording.notes, &plan, figures))
 }
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -15,7 +15,7 @@
 pub use play::{play, DayError, DayResult, During};
 
 use pearfork_cli::SettingsArguments;
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use std::path::Path;
 
 /// A short bad day, and the settings of its hosts: what the demo plays.
@@ -27,9 +27,9 @@
 ///
 /// # Errors
 /// A file that can't be read, or settings that are refused, in words.
-pub fn asked(day: &Path, settings: &SettingsArguments) -> Result<(String, HostPlan), String> {
+pub fn asked(day: &Path, settings: &SettingsArguments) -> Result<(String, HostSettings), String> {
     let text = std::fs::read_to_string(day).map_err(|e| format!("{}: {e}", day.display()))?;
-    let plan = HostPlan::load_with(&settings.config, &settings.over())
+    let plan = HostSettings::load_with(&settings.config, &settings.over())
         .map_err(|e| format!("the settings are refused\n{e}"))?;
     plan.warnings.iter().for_each(|w| eprintln!("{w}"));
     Ok((text, plan))
--- a/crates/day/src/main.rs
+++ b/crates/day/src/main.rs
@@ -6,7 +6,7 @@
 use pearfork_day::script::Day;
 use pearfork_day::summary::Summary;
 use pearfork_day::{asked, play, DEMO};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -65,7 +65,7 @@
             let (text, plan) = asked(day, settings)?;
             run(&day.display().to_string(), &text, &plan, record.as_deref(), &arguments.common)
         }
-        Command::Demo { record } => HostPlan::from_toml(DEMO.1)
+        Command::Demo { record } => HostSettings::from_toml(DEMO.1)
             .map_err(|e| format!("settings:\n{e}"))
             .and_then(|plan| run("demo", DEMO.0, &plan, record.as_deref(), &arguments.common)),
     }
@@ -74,7 +74,7 @@
 fn run(
     name: &str,
     day: &str,
-    plan: &HostPlan,
+    plan: &HostSettings,
     record: Option<&Path>,
     common: &Common,
 ) -> Result<Exit, String> {
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -5,7 +5,7 @@
 use crate::script::{Day, EventKind, EventTable};
 use crate::{figures, judge_notes};
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::HostError;
 use pearfork_record::{Counted, Head, Recording, Said};
 use pearfork_rulecheck::{Note, Report, What};
@@ -124,7 +124,7 @@
     }
 
     /// The record of the day, to be kept.
-    pub fn recording(&self, name: &str, day: &Day, plan: &HostPlan) -> Recording {
+    pub fn recording(&self, name: &str, day: &Day, plan: &HostSettings) -> Recording {
         let head = Head {
             name: name.to_owned(),
             hosts: day.day.hosts,
@@ -173,11 +173,11 @@
 /// Nothing was played, or no thread could be had on the way.
 pub fn play(
     day: &Day,
-    plan: &HostPlan,
+    plan: &HostSettings,
     crew: &mut dyn Crew,
     mut progress: impl FnMut(Duration, &str),
 ) -> Result<DayResult, DayError> {
-    let mut luns: Vec<u16> = plan.volumes.iter().map(|v| v.unit_number).collect();
+    let mut luns: Vec<u16> = plan.volumes.iter().map(|v| v.lun).collect();
     luns.sort_unstable();
     luns.dedup();
     if luns.len() != plan.volumes.len() {
@@ -185,7 +185,7 @@
     }
     let limited = |name: &str| {
         let volume = plan.volumes.iter().find(|v| v.name == name);
-        volume.is_some_and(|v| plan.module.plans[usize::from(v.plan)].limit > 0.0)
+        volume.is_some_and(|v| plan.scheduler.plans[usize::from(v.plan)].limit > 0.0)
     };
     if let Some(e) = day.expect.iter().find(|e| !limited(&e.volume)) {
         return Err(DayError::Unfit(format!("there is no volume `{}` with a limit to expect of", e.volume)));
@@ -205,7 +205,7 @@
         repeats_dropped: day.nodes.repeats_dropped.duration(),
     };
     let late = day.day.directory_late.duration();
-    let fleet = Fleet::start(&spec, &plan.module, anywhere, late, &recorder)?;
+    let fleet = Fleet::start(&spec, &plan.scheduler, anywhere, late, &recorder)?;
     let hosts = crew.start(day, plan, fleet.directory().address())?;
     let clients = start_clients(day, plan, &hosts, &recorder)?;
     let steps = timeline(day);
@@ -239,7 +239,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     // What is out ends by its deadline; nothing is cut off by the end of the day.
-    let longest = plan.module.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let longest = plan.scheduler.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let within = Duration::from_secs_f64(longest / 1_000.0) + Duration::from_secs(1);
     let done: Vec<(String, ClientTally)> = clients.into_iter().map(|(n, c)| (n, c.finish(within))).collect();
     ledger.close(began.elapsed(), crew);
@@ -269,7 +269,7 @@
 
 fn start_clients(
     day: &Day,
-    plan: &HostPlan,
+    plan: &HostSettings,
     hosts: &[SocketAddr],
     recorder: &Recorder,
 ) -> Result<Vec<(String, Client)>, DayError> {
@@ -299,7 +299,7 @@
                 seed: day.day.seed.wrapping_mul(4_096).wrapping_add(clients.len() as u64 + 1),
                 host: (host, hosts[usize::from(host)]),
                 target: volume.target.clone(),
-                lun: volume.unit_number,
+                lun: volume.lun,
                 block: volume.unit.block_len,
                 region: ((before + u64::from(n)) * each, each),
                 rate: table.rate,
--- a/crates/day/tests/customers.rs
+++ b/crates/day/tests/customers.rs
@@ -2,7 +2,7 @@
 
 use pearfork_day::script::Day;
 use pearfork_day::{play, DayResult};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use std::path::{Path, PathBuf};
 
 fn example(kind: &str, customer: &str) -> PathBuf {
@@ -11,7 +11,7 @@
 
 /// Plays the customer's day; every class in `busy` must have had requests.
 fn plays(customer: &str, busy: &[&str]) -> DayResult {
-    let plan = HostPlan::load(&example("hosts", customer)).unwrap_or_else(|e| panic!("{e}"));
+    let plan = HostSettings::load(&example("hosts", customer)).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(plan.warnings, Vec::<String>::new());
     let day = Day::from_toml(&std::fs::read_to_string(example("days", customer)).unwrap()).unwrap();
     let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
--- a/crates/day/tests/day.rs
+++ b/crates/day/tests/day.rs
@@ -2,7 +2,7 @@
 
 use pearfork_day::script::Day;
 use pearfork_day::{play, DayResult};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::wire::NodeTag;
 use pearfork_rulecheck::{check, Note, Place, Rule, What};
 
@@ -33,7 +33,7 @@
 #[test]
 fn a_bad_day_keeps_the_seven_rules_and_its_record_broken_on_purpose_does_not() {
     let day = Day::from_toml(DAY).unwrap();
-    let plan = HostPlan::from_toml(HOSTS).unwrap();
+    let plan = HostSettings::from_toml(HOSTS).unwrap();
     let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
     assert!(result.rules.kept(), "\n{}", result.rules);
     assert_eq!(result.stale(), Vec::<&str>::new());
--- a/crates/gateway/benches/bed/mod.rs
+++ b/crates/gateway/benches/bed/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use hdrhistogram::Histogram;
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::{Command, InitiatorConfig, Payload};
 use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
 use pearfork_scsi::{Media, MediaOp};
@@ -191,9 +191,9 @@
 
 /// A node whose work costs nothing, so that what is measured is what stands before it; and its directory.
 pub fn free_node() -> Fleet {
-    let plan = HostPlan::from_toml(&settings(([127, 0, 0, 1], 9).into())).expect("settings");
+    let plan = HostSettings::from_toml(&settings(([127, 0, 0, 1], 9).into())).expect("settings");
     let work = Duration::from_nanos(1);
     let spec = FleetSpec { count: 1, racks: 1, waiting: 1000, work, ..FleetSpec::default() };
     let nowhere = ([127, 0, 0, 1], 0).into();
-    Fleet::start(&spec, &plan.module, nowhere, Duration::ZERO, &Recorder::off()).expect("a node")
+    Fleet::start(&spec, &plan.scheduler, nowhere, Duration::ZERO, &Recorder::off()).expect("a node")
 }
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -7,7 +7,7 @@
 
 use bed::{free_node, load, settings, At, Gateway, QUICKSTART};
 use pearfork::{AttemptOutcome, AttemptResult, Event, ListKind, NodeEntry, Request, Scheduler};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::InitiatorConfig;
 use pearfork_net::{Connection, TapRef};
 use pearfork_scsi::MediaOp;
@@ -40,8 +40,8 @@
 }
 
 fn module_time() -> (f64, f64) {
-    let plan = HostPlan::from_toml(QUICKSTART).expect("the quickstart");
-    let mut s = Scheduler::new(plan.module.clone(), 1).expect("settings");
+    let plan = HostSettings::from_toml(QUICKSTART).expect("the quickstart");
+    let mut s = Scheduler::new(plan.scheduler.clone(), 1).expect("settings");
     let nodes: Vec<NodeEntry> = (0..44)
         .map(|n| NodeEntry {
             node: n,
--- a/crates/gateway/benches/rules.rs
+++ b/crates/gateway/benches/rules.rs
@@ -5,7 +5,7 @@
 mod bed;
 
 use bed::{free_node, load, settings, Gateway};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_scsi::MediaOp;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     let few = settings(fleet.directory().address());
     let many = many(&few);
     let worst = |text: &str| {
-        let plan = HostPlan::from_toml(text).unwrap_or_else(|e| panic!("{e}"));
+        let plan = HostSettings::from_toml(text).unwrap_or_else(|e| panic!("{e}"));
         (plan.matching.rules().class_rows().count(), plan.matching.rules().worst_steps())
     };
     println!("{:?} and {:?} rows and worst steps\n", worst(&few), worst(&many));
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -6,7 +6,7 @@
 use clap::{Parser, Subcommand};
 use crossbeam_channel::select;
 use pearfork_cli::{Common, Exit, Output, SettingsArguments};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_stand::{Fleet, FleetSpec, Recorder};
 use serde::Serialize;
@@ -95,17 +95,17 @@
 }
 
 /// A plan from the settings; what the operator is to be told goes to standard error.
-fn load(settings: &SettingsArguments) -> Result<HostPlan, String> {
-    let plan = HostPlan::load_with(&settings.config, &settings.over())
+fn load(settings: &SettingsArguments) -> Result<HostSettings, String> {
+    let plan = HostSettings::load_with(&settings.config, &settings.over())
         .map_err(|e| format!("the settings are refused\n{e}"))?;
     plan.warnings.iter().for_each(|w| eprintln!("{w}"));
     Ok(plan)
 }
 
 /// The embedded nodes that the settings ask for.
-fn embedded(plan: &HostPlan) -> Result<Option<Fleet>, String> {
+fn embedded(plan: &HostSettings) -> Result<Option<Fleet>, String> {
     let Some(e) = &plan.embedded else { return Ok(None) };
-    let longest = plan.module.classes.iter().map(|c| c.window_ms).fold(0.0, f64::max);
+    let longest = plan.scheduler.classes.iter().map(|c| c.window_ms).fold(0.0, f64::max);
     let spec = FleetSpec {
         count: e.nodes,
         racks: 1,
@@ -116,7 +116,7 @@
         deferred: 0.0,
         repeats_dropped: Duration::from_secs_f64(longest / 1_000.0),
     };
-    Fleet::start(&spec, &plan.module, plan.directory, Duration::ZERO, &Recorder::off())
+    Fleet::start(&spec, &plan.scheduler, plan.directory, Duration::ZERO, &Recorder::off())
         .map(Some)
         .map_err(|e| format!("embedded nodes, directory at {}: {e}", plan.directory))
 }
@@ -137,14 +137,14 @@
     let why = loop {
         select! {
             recv(signals) -> signal => match signal {
-                Ok(SIGHUP) => match load(settings).and_then(|new| host.rematch(&new).map_err(|e| e.to_string())) {
+                Ok(SIGHUP) => match load(settings).and_then(|new| host.update_matching(&new).map_err(|e| e.to_string())) {
                     Ok(()) => output.put(&Told::MatchingTakenAnew, "matching rules taken anew\n"),
                     Err(e) => eprintln!("pearfork-gateway: the old matching rules stay\n{e}"),
                 },
                 Ok(SIGINT) => break "interrupt",
                 _ => break "terminate",
             },
-            recv(host.drain_asked()) -> _ => break "drain",
+            recv(host.drain_requests()) -> _ => break "drain",
         }
     };
     let words = format!("stopping ({why}): what was taken is answered first\n");
@@ -163,17 +163,17 @@
     let line = |v: &pearfork_host::volumes::Volume| {
         format!(
             "  volume {}: {} LUN {}, {} blocks of {}\n",
-            v.name, v.target, v.unit_number, v.unit.blocks, v.unit.block_len
+            v.name, v.target, v.lun, v.unit.blocks, v.unit.block_len
         )
     };
-    words.extend(host.plan().volumes.iter().map(line));
+    words.extend(host.settings().volumes.iter().map(line));
     if let Some(http) = host.http_address() {
         words += &format!("  health, metrics, nodes, volumes: http://{http}/\n");
     }
-    let volumes = host.plan().volumes.iter().map(|v| VolumeLine {
+    let volumes = host.settings().volumes.iter().map(|v| VolumeLine {
         name: &v.name,
         target: &v.target,
-        lun: v.unit_number,
+        lun: v.lun,
         blocks: v.unit.blocks,
         block: v.unit.block_len,
     });
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use pearfork_day::{figures, judge_notes};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
 use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
@@ -27,7 +27,7 @@
 }
 
 pub struct World {
-    pub plan: HostPlan,
+    pub plan: HostSettings,
     pub fleet: Fleet,
     pub hosts: Vec<Host>,
     pub recorder: Recorder,
@@ -39,11 +39,11 @@
     }
 
     pub fn with(hosts: u16, spec: &FleetSpec, settings: &str) -> World {
-        let mut plan = HostPlan::from_toml(settings).unwrap_or_else(|e| panic!("{e}"));
-        plan.module.hosts = u32::from(hosts);
+        let mut plan = HostSettings::from_toml(settings).unwrap_or_else(|e| panic!("{e}"));
+        plan.scheduler.hosts = u32::from(hosts);
         plan.volumes.iter_mut().for_each(|v| v.hosts = u32::from(hosts));
         let recorder = Recorder::default();
-        let fleet = Fleet::start(spec, &plan.module, anywhere(), Duration::ZERO, &recorder).unwrap();
+        let fleet = Fleet::start(spec, &plan.scheduler, anywhere(), Duration::ZERO, &recorder).unwrap();
         let mut world = World { plan, fleet, hosts: Vec::new(), recorder };
         (0..hosts).for_each(|number| world.add_host(number));
         world
@@ -110,7 +110,7 @@
         address: SocketAddr,
         recorder: &Recorder,
         host: u16,
-        plan: &HostPlan,
+        plan: &HostSettings,
         volume: usize,
         isid: u8,
     ) -> Result<Asker, pearfork_net::ConnectError> {
@@ -126,7 +126,7 @@
         let tap = recorder.tap(Place::Client { host }, |_, _, _| {}).map(|t| (t, 0));
         let tell = move |e| drop(to.send(e));
         let connection = Connection::open(address, config, LONG, TapRef(tap), tell)?;
-        Ok(Asker { connection, events, unit: volume.unit_number, next: std::cell::Cell::new(1) })
+        Ok(Asker { connection, events, unit: volume.lun, next: std::cell::Cell::new(1) })
     }
 
     /// Sends without waiting; its number.
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -3,7 +3,7 @@
 use pearfork_day::script::Day;
 use pearfork_day::summary::Summary;
 use pearfork_day::{play, DayResult};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::Rule;
 use pearfork_trial::{Processes, Program};
 use std::path::Path;
@@ -22,7 +22,7 @@
     for e in day.expect.iter_mut().filter(|e| e.at_least > 0.0) {
         e.at_least = 0.5;
     }
-    let plan = HostPlan::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
+    let plan = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
     let folder = tempfile::tempdir().unwrap();
     let mut crew = Processes::new(Program {
         gateway: env!("CARGO_BIN_EXE_pearfork-gateway").into(),
--- a/crates/gateway/tests/matching.rs
+++ b/crates/gateway/tests/matching.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ended, eventually, ms, Asker, World, HOSTS};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -21,8 +21,9 @@
         "class \"large-read\" otherwise;\nkey = lba / 4096;",
         1,
     );
-    let plans = [HostPlan::from_toml(HOSTS).unwrap(), HostPlan::from_toml(&other).unwrap()];
-    let elsewhere = HostPlan::from_toml(&HOSTS.replacen("aim = \"150ms\"", "aim = \"160ms\"", 1)).unwrap();
+    let plans = [HostSettings::from_toml(HOSTS).unwrap(), HostSettings::from_toml(&other).unwrap()];
+    let elsewhere =
+        HostSettings::from_toml(&HOSTS.replacen("aim = \"150ms\"", "aim = \"160ms\"", 1)).unwrap();
     let (over, answered, served) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
     let exchanges = std::thread::scope(|s| {
         let ask = |client: u64| {
@@ -40,8 +41,8 @@
         let exchange = s.spawn(|| {
             let mut n = 0;
             while !over.load(Ordering::Relaxed) {
-                world.hosts[0].rematch(&plans[n % 2]).unwrap();
-                assert!(world.hosts[0].rematch(&elsewhere).is_err(), "another class is not taken");
+                world.hosts[0].update_matching(&plans[n % 2]).unwrap();
+                assert!(world.hosts[0].update_matching(&elsewhere).is_err(), "another class is not taken");
                 n += 1;
                 std::thread::sleep(ms(2));
             }
--- a/crates/gateway/tests/verdicts.rs
+++ b/crates/gateway/tests/verdicts.rs
@@ -2,7 +2,7 @@
 //! kind of fault, and a thousand files made from good ones by a seeded hand that breaks things.
 
 use pearfork_check::{file, file_with, Kind, Verdict};
-use pearfork_host::settings::{HostPlan, Overrides};
+use pearfork_host::settings::{HostSettings, Overrides};
 use pearfork_host::Host;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -213,7 +213,7 @@
         let text = mutant(&good, &mut random);
         let path = folder.write(&text);
         let checked = file(&path);
-        match HostPlan::load(&path) {
+        match HostSettings::load(&path) {
             Ok(mut plan) => {
                 assert!(
                     checked.right,
--- a/crates/host/src/counts.rs
+++ b/crates/host/src/counts.rs
@@ -39,7 +39,7 @@
     /// Attempts sent.
     pub sent: u64,
     /// Of those, beyond a request's first.
-    pub further: u64,
+    pub retries: u64,
     /// By how they ended.
     pub served: u64,
     /// Errors.
@@ -53,7 +53,7 @@
     /// Lost with the connection.
     pub reset: u64,
     /// Not sent at all, for a reason that says nothing of the node.
-    pub moot: u64,
+    pub not_sent: u64,
     /// Withdrawn.
     pub cancelled: u64,
 }
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -5,7 +5,7 @@
 
 use crate::counts::{ClassCounts, NodeCounts, ReasonCounts};
 use crate::join::{Join, PartEnd};
-use crate::settings::{HostPlan, Matching};
+use crate::settings::{HostSettings, Matching};
 use crate::volumes::{Part, VolumeId};
 use hdrhistogram::Histogram;
 use pearfork::{AttemptResult, Event, ListKind, NodeEntry, Reason, Request};
@@ -185,7 +185,7 @@
 
 /// Drives one [`pearfork::Scheduler`].
 pub struct Dispatcher {
-    plan: Arc<HostPlan>,
+    plan: Arc<HostSettings>,
     matching: Arc<Matching>,
     driver: Driver,
     boot: u32,
@@ -211,8 +211,8 @@
     ///
     /// # Errors
     /// The module refuses a setting.
-    pub fn new(plan: Arc<HostPlan>, seed: u64, boot: u32) -> Result<Self, pearfork::SettingsError> {
-        let driver = Driver::new(plan.module.clone(), seed)?;
+    pub fn new(plan: Arc<HostSettings>, seed: u64, boot: u32) -> Result<Self, pearfork::SettingsError> {
+        let driver = Driver::new(plan.scheduler.clone(), seed)?;
         // Two digits up to an hour: a few tens of KiB for each class.
         let times = Histogram::new_with_bounds(1, 3_600_000_000, 2)
             .unwrap_or_else(|_| Histogram::new(2).expect("2 is a valid precision"));
@@ -347,7 +347,7 @@
         let whole = fields(&s.media);
         let class = self.matching.class_of(&whole);
         let plan_number = self.matching.plan_of(&whole).unwrap_or(volume.plan);
-        let rule = &plan.module.classes[usize::from(class)];
+        let rule = &plan.scheduler.classes[usize::from(class)];
         // Danger: the client's time runs from its sending. Counted from when this thread came to it, a command
         // that waited while the host stood still would be answered after its client had left.
         let arrived = s.arrived_ms.min(now);
@@ -465,7 +465,7 @@
         self.wanted.insert(attempt, wanted);
         let counts = self.nodes.entry(node).or_default();
         counts.sent += 1;
-        counts.further += u64::from(attempt.number > 0);
+        counts.retries += u64::from(attempt.number > 0);
         out.push(Effect::Send(node, Box::new(order)));
     }
 
@@ -490,7 +490,7 @@
             Ended::Error => (AttemptResult::Error, &mut counts.errors),
             Ended::Full => (AttemptResult::Rejected, &mut counts.full),
             Ended::ConnectFailed => (AttemptResult::ConnectFailed, &mut counts.connect_failed),
-            Ended::Moot => (AttemptResult::NotSent, &mut counts.moot),
+            Ended::Moot => (AttemptResult::NotSent, &mut counts.not_sent),
             Ended::Reset => (AttemptResult::Reset, &mut counts.reset),
         };
         *count += 1;
@@ -516,7 +516,7 @@
         let answer = match end {
             PartEnd::Served(parts) => {
                 counts.served += 1;
-                let aim = self.plan.module.classes[usize::from(command.class)].aim_ms;
+                let aim = self.plan.scheduler.classes[usize::from(command.class)].aim_ms;
                 counts.late += u64::from(now - command.arrived > aim);
                 self.times[usize::from(command.class)]
                     .saturating_record(((now - command.arrived) * 1e3) as u64);
--- a/crates/host/src/fleet.rs
+++ b/crates/host/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::LentPart;
 use crate::engine::Message;
-use crate::settings::HostPlan;
+use crate::settings::HostSettings;
 use crate::volumes::VolumeId;
 use crossbeam_channel::{bounded, Sender};
 use pearfork_fleet::{Demand, FleetPlan, Portion, User};
@@ -41,16 +41,16 @@
 
 impl Limits {
     /// Those of a plan. `asked` counts thousandths of units by volume.
-    pub(crate) fn of(plan: &HostPlan, fleet: &FleetPlan, asked: Arc<[AtomicU64]>) -> Limits {
-        let largest = plan.module.max_units;
+    pub(crate) fn of(plan: &HostSettings, fleet: &FleetPlan, asked: Arc<[AtomicU64]>) -> Limits {
+        let largest = plan.scheduler.max_units;
         let line = |v: &crate::volumes::Volume| {
-            let p = &plan.module.plans[usize::from(v.plan)];
+            let p = &plan.scheduler.plans[usize::from(v.plan)];
             (p.limit > 0.0).then(|| Line {
                 volume: v.id,
                 rate: Budget::new(Kind::Limit, &v.name),
                 burst: Budget::new(Kind::Burst, &v.name),
                 // Less than that would leave a request waiting past its aim, and a host that has few waiting for ever.
-                least_rate: Fraction::from_f64(plan.module.mean_units / p.limit),
+                least_rate: Fraction::from_f64(plan.scheduler.mean_units / p.limit),
                 least_burst: Fraction::from_f64(largest / p.burst.max(1e-9)),
                 turn: Duration::from_secs_f64((1.25 * largest / p.limit).min(60.0)),
                 meter: Meter::new(p.limit, largest),
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -4,7 +4,7 @@
 
 use crate::dispatcher::{Final, Input, Origin, Served, Submission};
 use crate::engine::Message;
-use crate::settings::HostPlan;
+use crate::settings::HostSettings;
 use crate::volumes::{Volume, VolumeId};
 use crossbeam_channel::Sender;
 use pearfork_iscsi::{Access, LoginStatus, Payload, Response, ScsiCommand, TaskTag, TmfFunction};
@@ -16,7 +16,7 @@
 
 /// Who may log in where: the volumes' lists.
 pub(crate) struct Door {
-    pub(crate) plan: Arc<HostPlan>,
+    pub(crate) plan: Arc<HostSettings>,
     pub(crate) address: SocketAddr,
 }
 
@@ -58,14 +58,14 @@
 
 /// Sessions and what is under way in them.
 pub(crate) struct Front {
-    plan: Arc<HostPlan>,
+    plan: Arc<HostSettings>,
     engine: Sender<Message>,
     clock: Clock,
     clients: Mutex<HashMap<u64, Client>>,
 }
 
 impl Front {
-    pub(crate) fn new(plan: Arc<HostPlan>, engine: Sender<Message>, clock: Clock) -> Self {
+    pub(crate) fn new(plan: Arc<HostSettings>, engine: Sender<Message>, clock: Clock) -> Self {
         Front { plan, engine, clock, clients: Mutex::default() }
     }
 
@@ -199,7 +199,7 @@
     ) -> Result<(), LoginStatus> {
         let target = target.unwrap_or_default().to_owned();
         let mine = self.plan.volumes.iter().filter(|v| v.target == target && v.admits(initiator));
-        let units = mine.map(|v| (v.unit_number, v.id)).collect();
+        let units = mine.map(|v| (v.lun, v.id)).collect();
         tracing::info!(peer = %session.peer(), initiator, target, "session begins");
         let client = Client {
             session: session.clone(),
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Limits as SharedLimits;
 use crate::front::{Door, Front};
 use crate::links::Links;
-use crate::settings::{HostPlan, SettingsFaults};
+use crate::settings::{HostSettings, HostSettingsErrors};
 use crate::status::{self, Snapshot};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_fleet::Fleet;
@@ -49,7 +49,7 @@
 
 /// A running host. Dropping it stops it at once; [`Host::stop`] does so in order.
 pub struct Host {
-    plan: Arc<HostPlan>,
+    plan: Arc<HostSettings>,
     portal: Portal,
     engine: Sender<Message>,
     asks: Sender<Ask>,
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// What the machine refuses: addresses, threads.
-    pub fn start(plan: HostPlan) -> Result<Host, HostError> {
+    pub fn start(plan: HostSettings) -> Result<Host, HostError> {
         let plan = Arc::new(plan);
         let listener = listen(plan.listen)?;
         let address = listener.local_addr()?;
@@ -182,7 +182,7 @@
     }
 
     /// What it runs by.
-    pub fn plan(&self) -> &HostPlan {
+    pub fn settings(&self) -> &HostSettings {
         &self.plan
     }
 
@@ -190,14 +190,14 @@
     ///
     /// # Errors
     /// Why the old rules stay.
-    pub fn rematch(&self, new: &HostPlan) -> Result<(), SettingsFaults> {
-        let matching = self.plan.rematch(new)?;
+    pub fn update_matching(&self, new: &HostSettings) -> Result<(), HostSettingsErrors> {
+        let matching = self.plan.compatible_matching(new)?;
         let _ = self.engine.send(Message::Input(Input::Matching(matching)));
         Ok(())
     }
 
     /// Rings once when somebody asks over HTTP that the host drain; its owner then calls [`Host::stop`].
-    pub fn drain_asked(&self) -> &Receiver<()> {
+    pub fn drain_requests(&self) -> &Receiver<()> {
         &self.drains
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Lets the engine stand still, as a suspended machine does: a trouble for tests and scripted days.
-    pub fn stand_still(&self, span: Duration) {
+    pub fn stall_engine(&self, span: Duration) {
         let _ = self.engine.send(Message::StandStill(span));
     }
 
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -1,6 +1,6 @@
 //! The operator's file: read, checked as a whole, and turned into a plan that is valid for good.
 //!
-//! [`HostPlan::load_with`] (and [`HostPlan::load`], [`HostPlan::from_toml`], where less goes over it) is the only way from
+//! [`HostSettings::load_with`] (and [`HostSettings::load`], [`HostSettings::from_toml`], where less goes over it) is the only way from
 //! text to a plan, for the host and for whatever checks files.
 
 mod fleet;
@@ -12,7 +12,7 @@
 
 pub use self::matching::Matching;
 pub use self::migrate::{migrate, MigrateError};
-pub use self::provenance::{Explained, Provenance, UnknownKey};
+pub use self::provenance::{Explanation, Provenance, UnknownKey};
 use self::tables::{ClassTable, EffectWord, File, GroupWord, PlanTable};
 use crate::units::Span;
 use crate::volumes::{Volume, VolumeId};
@@ -25,7 +25,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-pub use self::tables::Embedded;
+pub use self::tables::EmbeddedNodes;
 pub use pearfork_layers::{Origin, Overrides};
 
 /// The form of settings files that this version reads.
@@ -36,7 +36,7 @@
 
 /// Faults of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SettingsFault {
+pub enum HostSettingsError {
     /// Not TOML, an unknown key, or a value of the wrong kind; the text names the line.
     #[error("{0}")]
     Syntax(String),
@@ -76,9 +76,9 @@
 
 /// All faults of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsFaults(pub Vec<SettingsFault>);
+pub struct HostSettingsErrors(pub Vec<HostSettingsError>);
 
-impl std::fmt::Display for SettingsFaults {
+impl std::fmt::Display for HostSettingsErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (i, fault) in self.0.iter().enumerate() {
             write!(f, "{}{fault}", if i > 0 { "\n" } else { "" })?;
@@ -87,11 +87,11 @@
     }
 }
 
-impl std::error::Error for SettingsFaults {}
+impl std::error::Error for HostSettingsErrors {}
 
 /// Everything a host runs by; valid as a whole.
 #[derive(Clone, Debug)]
-pub struct HostPlan {
+pub struct HostSettings {
     /// Its number among the hosts.
     pub number: u16,
     /// Where iSCSI clients come.
@@ -119,7 +119,7 @@
     /// How long an orderly stop waits for what was accepted.
     pub drain: Span,
     /// What the module is told.
-    pub module: pearfork::Settings,
+    pub scheduler: pearfork::Settings,
     /// Names of the classes, by position.
     pub class_names: Vec<String>,
     /// Names of the plans, by position.
@@ -127,7 +127,7 @@
     /// The volumes, by position.
     pub volumes: Vec<Volume>,
     /// Stand-in nodes to be brought along.
-    pub embedded: Option<Embedded>,
+    pub embedded: Option<EmbeddedNodes>,
     /// Its place among the hosts that divide budgets; none where each has an even part by the figures alone.
     pub fleet: Option<FleetPlan>,
     /// Which class, plan and key a request gets.
@@ -139,12 +139,12 @@
     unit: u64,
 }
 
-impl HostPlan {
+impl HostSettings {
     /// Reads and checks a file that refers to no other.
     ///
     /// # Errors
     /// All faults that were found; those of form hide those of meaning.
-    pub fn from_toml(text: &str) -> Result<HostPlan, SettingsFaults> {
+    pub fn from_toml(text: &str) -> Result<HostSettings, HostSettingsErrors> {
         let alone = |_: &str| Err("this text refers to a file, and comes without a folder".to_owned());
         Self::from_source("settings", text, &alone, &Overrides::default())
     }
@@ -152,19 +152,20 @@
     /// Reads and checks a file, and what it refers to in its folder.
     ///
     /// # Errors
-    /// As [`HostPlan::from_toml`], and files that can't be read.
-    pub fn load(path: &Path) -> Result<HostPlan, SettingsFaults> {
+    /// As [`HostSettings::from_toml`], and files that can't be read.
+    pub fn load(path: &Path) -> Result<HostSettings, HostSettingsErrors> {
         Self::load_with(path, &Overrides::default())
     }
 
     /// The same with variables and flags over it. Each file is read once: what was checked is what is used.
     ///
     /// # Errors
-    /// As [`HostPlan::load`], and variables or flags that can't be taken.
-    pub fn load_with(path: &Path, over: &Overrides) -> Result<HostPlan, SettingsFaults> {
+    /// As [`HostSettings::load`], and variables or flags that can't be taken.
+    pub fn load_with(path: &Path, over: &Overrides) -> Result<HostSettings, HostSettingsErrors> {
         let name = path.display().to_string();
         let read = |p: &Path| std::fs::read_to_string(p).map_err(|e| e.to_string());
-        let unreadable = |why| SettingsFaults(vec![SettingsFault::Unreadable { file: name.clone(), why }]);
+        let unreadable =
+            |why| HostSettingsErrors(vec![HostSettingsError::Unreadable { file: name.clone(), why }]);
         let text = read(path).map_err(unreadable)?;
         let beside = |file: &str| read(&path.parent().unwrap_or(Path::new("")).join(file));
         Self::from_source(&name, &text, &beside, over)
@@ -176,11 +177,12 @@
         text: &str,
         read: &dyn Fn(&str) -> Result<String, String>,
         over: &Overrides,
-    ) -> Result<HostPlan, SettingsFaults> {
-        let layers = Layers::gather(name, text, read, over, EXCLUSIVE)
-            .map_err(|faults| SettingsFaults(faults.into_iter().map(SettingsFault::from).collect()))?;
-        let file =
-            shape(name, text, &layers).map_err(|words| SettingsFaults(vec![SettingsFault::Syntax(words)]))?;
+    ) -> Result<HostSettings, HostSettingsErrors> {
+        let layers = Layers::gather(name, text, read, over, EXCLUSIVE).map_err(|faults| {
+            HostSettingsErrors(faults.into_iter().map(HostSettingsError::from).collect())
+        })?;
+        let file = shape(name, text, &layers)
+            .map_err(|words| HostSettingsErrors(vec![HostSettingsError::Syntax(words)]))?;
         Checker { layers: &layers, read, faults: Vec::new(), warnings: Vec::new() }.plan(file)
     }
 
@@ -207,7 +209,7 @@
             lba: media.lba,
             blocks: u64::from(media.blocks),
             bytes: media.moves(volume.unit.block_len),
-            lun: volume.unit_number,
+            lun: volume.lun,
             volume: &volume.name,
             plan: &self.plan_names[usize::from(volume.plan)],
             initiator,
@@ -223,21 +225,21 @@
     /// # Errors
     /// Classes or plans that differ: those need a new start, since requests in flight and the module know them by
     /// position.
-    pub fn rematch(&self, new: &HostPlan) -> Result<Arc<Matching>, SettingsFaults> {
+    pub fn compatible_matching(&self, new: &HostSettings) -> Result<Arc<Matching>, HostSettingsErrors> {
         let same = new.class_names == self.class_names
             && new.plan_names == self.plan_names
-            && new.module.classes == self.module.classes
-            && new.module.plans == self.module.plans;
+            && new.scheduler.classes == self.scheduler.classes
+            && new.scheduler.plans == self.scheduler.plans;
         if same {
             return Ok(new.matching.clone());
         }
         let what = "classes or plans differ from those that the host started with; start it anew".to_owned();
-        Err(SettingsFaults(vec![SettingsFault::Value { entry: "match.rules".to_owned(), what }]))
+        Err(HostSettingsErrors(vec![HostSettingsError::Value { entry: "match.rules".to_owned(), what }]))
     }
 
     /// Size of a request in units: at least one, at most what the module was told.
     pub fn units_of(&self, bytes: u64) -> f64 {
-        (bytes.div_ceil(self.unit) as f64).clamp(1.0, self.module.max_units.max(1.0))
+        (bytes.div_ceil(self.unit) as f64).clamp(1.0, self.scheduler.max_units.max(1.0))
     }
 }
 
@@ -295,13 +297,13 @@
 struct Checker<'a> {
     layers: &'a Layers,
     read: &'a dyn Fn(&str) -> Result<String, String>,
-    faults: Vec<SettingsFault>,
+    faults: Vec<HostSettingsError>,
     warnings: Vec<String>,
 }
 
 impl Checker<'_> {
     fn fault(&mut self, entry: impl Into<String>, what: impl Into<String>) {
-        self.faults.push(SettingsFault::Value { entry: entry.into(), what: what.into() });
+        self.faults.push(HostSettingsError::Value { entry: entry.into(), what: what.into() });
     }
 
     fn names<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
@@ -315,7 +317,7 @@
         }
     }
 
-    fn plan(mut self, file: File) -> Result<HostPlan, SettingsFaults> {
+    fn plan(mut self, file: File) -> Result<HostSettings, HostSettingsErrors> {
         if file.format.is_some_and(|f| f != FORMAT) {
             let what = format!(
                 "this version reads format {FORMAT}; `pearfork-check migrate FILE` writes an older file anew"
@@ -356,7 +358,7 @@
             burst: p.burst,
             slack: p.slack,
         };
-        let module = pearfork::Settings {
+        let scheduler = pearfork::Settings {
             hosts: file.host.hosts,
             classes,
             plans: file.plan.iter().map(plan).collect(),
@@ -390,12 +392,12 @@
             let what = format!("class `{}` is keyed, and nodes learn of keys by the extension alone", c.name);
             self.fault("transport.extension", what);
         }
-        if let Err(e) = module.check() {
+        if let Err(e) = scheduler.check() {
             self.fault("module", e.to_string());
         }
         // Hosts that divide a limit have no even parts of it, and a check of their own.
         let even = |r: &pearfork_terms::Refusal| file.fleet.is_none() || r.key != "burst";
-        for refusal in pearfork_terms::check(&module, &class_names).into_iter().filter(even) {
+        for refusal in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(even) {
             let entry = match refusal.entry {
                 pearfork_terms::Entry::Class(i) if i < file.class.len() => {
                     format!("class `{}`", class_names[i])
@@ -405,14 +407,14 @@
                 pearfork_terms::Entry::Rules => "rules".to_owned(),
             };
             let place = self.place_of(&file, refusal.entry, refusal.key);
-            self.faults.push(SettingsFault::Rule { entry, place, refusal });
+            self.faults.push(HostSettingsError::Rule { entry, place, refusal });
         }
         let fleet = self.fleet(&file);
         let (Some(matching), true) = (matching, self.faults.is_empty()) else {
-            return Err(SettingsFaults(self.faults));
+            return Err(HostSettingsErrors(self.faults));
         };
         let provenance = Provenance::new(self.layers, &file, matching.text());
-        Ok(HostPlan {
+        Ok(HostSettings {
             number: file.host.number,
             listen: file.host.listen,
             http: file.host.http,
@@ -426,7 +428,7 @@
             commands: file.transport.commands,
             max_transfer: file.transport.max_transfer.bytes() as usize,
             drain: file.transport.drain,
-            module,
+            scheduler,
             class_names,
             plan_names: file.plan.iter().map(|p| p.name.clone()).collect(),
             volumes,
@@ -523,7 +525,7 @@
                 id: VolumeId(i as u32),
                 name: v.name.clone(),
                 target,
-                unit_number: v.lun,
+                lun: v.lun,
                 unit: Unit { blocks: (size / block).max(1), block_len: block as u32, serial: v.name.clone() },
                 extent_blocks: extent / block,
                 shards: v.shards.clone(),
--- a/crates/host/src/settings/matching.rs
+++ b/crates/host/src/settings/matching.rs
@@ -1,7 +1,7 @@
 //! The rules that match requests, held against the classes, plans and volumes of the same file.
 
 use super::tables::File;
-use super::{Checker, SettingsFault};
+use super::{Checker, HostSettingsError};
 use crate::volumes::Volume;
 use pearfork_layers::Key;
 use pearfork_match::{nearest, Fault, Faults, Fields, Gravity, Place, Rules};
@@ -61,7 +61,7 @@
     }
 
     /// A piece of the rules as it was written, and the line that it stands on.
-    pub fn written(&self, place: Place) -> (usize, &str) {
+    pub fn source_at(&self, place: Place) -> (usize, &str) {
         let (from, to) = (place.from + self.source.offset, place.to + self.source.offset);
         let text = &self.source.text;
         (1 + text.get(..from).map_or(0, |t| t.matches('\n').count()), text.get(from..to).unwrap_or(""))
@@ -94,7 +94,8 @@
             (None, Some(name)) => match (self.read)(&self.beside(name)) {
                 Ok(text) => Some((RulesSource { name: name.clone(), text: text.clone(), offset: 0 }, text)),
                 Err(why) => {
-                    self.faults.push(SettingsFault::Unreadable { file: format!("match.file {name}"), why });
+                    self.faults
+                        .push(HostSettingsError::Unreadable { file: format!("match.file {name}"), why });
                     None
                 }
             },
@@ -128,7 +129,7 @@
         let rules = match Rules::compile_within(text.as_bytes(), file.r#match.max_steps) {
             Ok(rules) => rules,
             Err(faults) => {
-                self.faults.push(SettingsFault::Rules(source.show(faults, Gravity::Fault)));
+                self.faults.push(HostSettingsError::Rules(source.show(faults, Gravity::Fault)));
                 return None;
             }
         };
@@ -139,7 +140,7 @@
         let mut unknown = unknown_names("class", rules.class_rows(), &known_classes);
         unknown.extend(unknown_names("plan", rules.plan_rows(), &known_plans));
         if !unknown.is_empty() {
-            self.faults.push(SettingsFault::Rules(source.show(Faults(unknown), Gravity::Fault)));
+            self.faults.push(HostSettingsError::Rules(source.show(Faults(unknown), Gravity::Fault)));
         }
         // A route is there for its requests; who writes one that none can reach has meant another.
         let never: HashSet<usize> = rules.warnings().0.iter().map(|w| w.place.from).collect();
--- a/crates/host/src/settings/migrate.rs
+++ b/crates/host/src/settings/migrate.rs
@@ -122,7 +122,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::HostPlan;
+    use crate::settings::HostSettings;
     use pearfork_match::Fields;
 
     const GOOD: &str = include_str!("../../../../examples/quickstart.toml");
@@ -157,11 +157,11 @@
 
     #[test]
     fn a_file_of_the_older_form_gives_each_request_the_class_that_it_had() {
-        let told = HostPlan::from_toml(&old()).unwrap_err().to_string();
+        let told = HostSettings::from_toml(&old()).unwrap_err().to_string();
         assert!(told.contains("pearfork-check migrate") && told.contains("line"), "{told}");
         let new = migrate(&old()).unwrap().unwrap();
         assert!(new.contains("# Which request is of which class"), "{new}");
-        let plan = HostPlan::from_toml(&new).unwrap_or_else(|e| panic!("{e}\n{new}"));
+        let plan = HostSettings::from_toml(&new).unwrap_or_else(|e| panic!("{e}\n{new}"));
         assert_eq!(plan.warnings, Vec::<String>::new());
         let class = |op, bytes| {
             let fields = Fields { op, bytes, ..Fields::default() };
@@ -178,10 +178,10 @@
     fn a_file_without_a_form_gets_one_and_nothing_else_changes() {
         let new = migrate(GOOD).unwrap().unwrap();
         assert_eq!(new.replacen("format = 1\n", "", 1), GOOD);
-        assert!(HostPlan::from_toml(&new).is_ok());
+        assert!(HostSettings::from_toml(&new).is_ok());
         let newer = new.replacen("format = 1", "format = 7", 1);
         assert_eq!(migrate(&newer), Err(MigrateError::Newer(7)));
-        assert!(HostPlan::from_toml(&newer).unwrap_err().to_string().contains("reads format 1"));
+        assert!(HostSettings::from_toml(&newer).unwrap_err().to_string().contains("reads format 1"));
     }
 
     #[test]
--- a/crates/host/src/settings/provenance.rs
+++ b/crates/host/src/settings/provenance.rs
@@ -18,7 +18,7 @@
 
 /// A value, and where it came from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Explained {
+pub struct Explanation {
     /// Its key.
     pub key: String,
     /// As a settings file would have it.
@@ -81,10 +81,10 @@
     ///
     /// # Errors
     /// Nothing goes by this key.
-    pub fn explain(&self, asked: &str) -> Result<Vec<Explained>, UnknownKey> {
+    pub fn explain(&self, asked: &str) -> Result<Vec<Explanation>, UnknownKey> {
         let key = asked.parse::<Key>().unwrap_or_default();
         let within = |k: &Key| *k == key || k.is_below(&key);
-        let found: Vec<Explained> = self
+        let found: Vec<Explanation> = self
             .values
             .iter()
             .filter(|(k, _)| !key.parts().is_empty() && within(k))
@@ -92,7 +92,7 @@
                 let mut given = given.iter().rev();
                 let origin = given.next().map_or(Origin::Default, |g| g.origin.clone());
                 let hides = given.map(|g| (g.origin.clone(), written(&g.value))).collect();
-                Explained { key: k.to_string(), value: value.clone(), origin, hides }
+                Explanation { key: k.to_string(), value: value.clone(), origin, hides }
             })
             .collect();
         if found.is_empty() {
--- a/crates/host/src/settings/tables.rs
+++ b/crates/host/src/settings/tables.rs
@@ -22,7 +22,7 @@
     pub(super) r#match: MatchTable,
     pub(super) plan: Vec<PlanTable>,
     pub(super) volume: Vec<VolumeTable>,
-    pub(super) embedded: Option<Embedded>,
+    pub(super) embedded: Option<EmbeddedNodes>,
     pub(super) fleet: Option<FleetTable>,
 }
 
@@ -96,7 +96,7 @@
 /// Stand-in nodes that a gateway brings along for trying it out; a host knows nothing of them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Embedded {
+pub struct EmbeddedNodes {
     /// How many, each with a shard of its own from 0 on.
     pub nodes: u16,
     /// Cores of each.
--- a/crates/host/src/settings/tests.rs
+++ b/crates/host/src/settings/tests.rs
@@ -6,12 +6,12 @@
 pub(crate) const GOOD: &str = include_str!("../../../../examples/quickstart.toml");
 
 fn words(text: &str) -> String {
-    HostPlan::from_toml(text).expect_err("a fault").to_string()
+    HostSettings::from_toml(text).expect_err("a fault").to_string()
 }
 
 #[test]
 fn the_quickstart_is_right_and_classifies_everything() {
-    let plan = HostPlan::from_toml(GOOD).unwrap_or_else(|e| panic!("{e}"));
+    let plan = HostSettings::from_toml(GOOD).unwrap_or_else(|e| panic!("{e}"));
     let class = |op, bytes| {
         let fields = Fields { op, bytes, ..Fields::default() };
         plan.class_names[usize::from(plan.matching.class_of(&fields))].clone()
@@ -20,7 +20,7 @@
     assert_eq!(class("verify", 65_537), "large-read");
     assert_eq!(class("compare-and-write", 512), "compare-and-write");
     assert_eq!((class("write", 0), class("flush", 0)), ("write".to_owned(), "flush".to_owned()));
-    assert!(plan.units_of(0) >= 1.0 && plan.units_of(u64::MAX) <= plan.module.max_units);
+    assert!(plan.units_of(0) >= 1.0 && plan.units_of(u64::MAX) <= plan.scheduler.max_units);
 }
 
 /// The quickstart with a route for large reads of one initiator, and terms.
@@ -42,10 +42,10 @@
         "deadline = \"9s\"\nattempt = \"2s\"\nattempts = 3\nretry_spread = \"100ms\"",
         "second_copy_after = \"80ms\"",
     );
-    let plan = HostPlan::from_toml(&text).unwrap_or_else(|e| panic!("{e}"));
+    let plan = HostSettings::from_toml(&text).unwrap_or_else(|e| panic!("{e}"));
     let class = |name: &str| {
         let at = plan.class_names.iter().position(|n| n == name).unwrap();
-        (at as u16, plan.module.classes[at].clone())
+        (at as u16, plan.scheduler.classes[at].clone())
     };
     let (office, route) = class("office");
     let (_, large) = class("large-read");
@@ -143,7 +143,7 @@
     let (rules, text) =
         (&GOOD[from + 12..to], [&GOOD[..from], "file = \"a.rules\"", &GOOD[to + 3..]].concat());
     let with = |rules: String| {
-        HostPlan::from_source(
+        HostSettings::from_source(
             "settings",
             &text,
             &|name| {
@@ -156,10 +156,15 @@
     assert!(with(rules.to_owned()).is_ok());
     let told = with(rules.replace("otherwise", "if lba")).unwrap_err().to_string();
     assert!(told.contains("a.rules:5:23"), "{told}");
-    let missing =
-        HostPlan::from_source("settings", &text, &|_| Err("no such file".to_owned()), &Overrides::default());
+    let missing = HostSettings::from_source(
+        "settings",
+        &text,
+        &|_| Err("no such file".to_owned()),
+        &Overrides::default(),
+    );
     assert!(missing.unwrap_err().to_string().contains("match.file a.rules: no such file"));
-    let absent = HostPlan::load(std::path::Path::new("/nonexistent/settings.toml")).unwrap_err().to_string();
+    let absent =
+        HostSettings::load(std::path::Path::new("/nonexistent/settings.toml")).unwrap_err().to_string();
     assert!(absent.contains("/nonexistent/settings.toml"), "{absent}");
 }
 
@@ -172,7 +177,7 @@
             &format!("class \"large-read\" otherwise;\nkey = {key};"),
             1,
         );
-        HostPlan::from_toml(&text).unwrap_or_else(|e| panic!("{e}")).warnings.join("\n")
+        HostSettings::from_toml(&text).unwrap_or_else(|e| panic!("{e}")).warnings.join("\n")
     };
     assert_eq!(with(&ordered, "hash(volume, lba / 2048)"), "");
     assert!(with(&ordered, "lba / 1000").contains("volume `demo` `lba / 1000`"));
@@ -209,11 +214,11 @@
 }
 
 /// The quickstart in two files: classes and rules in one that the other includes.
-fn layered(main: &str, over: &Overrides) -> Result<HostPlan, SettingsFaults> {
+fn layered(main: &str, over: &Overrides) -> Result<HostSettings, HostSettingsErrors> {
     let at = GOOD.find("[rules]").expect("rules");
     let base = &GOOD[at..];
     let text = format!("include = [\"site/base.toml\"]\n{main}\n{}", &GOOD[..at]);
-    HostPlan::from_source(
+    HostSettings::from_source(
         "host.toml",
         &text,
         &|path| match path {
@@ -232,17 +237,17 @@
 #[test]
 fn layers_make_the_plan_that_one_file_makes_and_each_value_tells_where_it_came_from() {
     let plan = layered("", &Overrides::default()).unwrap_or_else(|e| panic!("{e}"));
-    let one = HostPlan::from_toml(GOOD).unwrap();
-    assert_eq!((&plan.module, &plan.class_names), (&one.module, &one.class_names));
+    let one = HostSettings::from_toml(GOOD).unwrap();
+    assert_eq!((&plan.scheduler, &plan.class_names), (&one.scheduler, &one.class_names));
     assert_eq!(plan.provenance.fingerprint(), one.provenance.fingerprint());
     // The resolved text is the same plan again, and refers to nothing.
-    let again = HostPlan::from_toml(plan.provenance.resolved()).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((&again.module, again.listen), (&plan.module, plan.listen));
+    let again = HostSettings::from_toml(plan.provenance.resolved()).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!((&again.scheduler, again.listen), (&plan.scheduler, plan.listen));
     assert_eq!(again.provenance.fingerprint(), plan.provenance.fingerprint());
 
     let set = over(&["class.write.deadline=3s", "rules.drain_grace=1500ms"]);
     let plan = layered("", &set).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(plan.module.drain_grace_ms, 1500.0);
+    assert_eq!(plan.scheduler.drain_grace_ms, 1500.0);
     assert_ne!(plan.provenance.fingerprint(), one.provenance.fingerprint());
     let told = |key: &str| {
         let e = plan.provenance.explain(key).unwrap_or_else(|e| panic!("{e}")).remove(0);
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::{ClassCounts, NodeCounts, ReasonCounts, ReasonKey};
 use crate::dispatcher::Dispatcher;
-use crate::settings::HostPlan;
+use crate::settings::HostSettings;
 use pearfork::{NodeEntry, NodeState, Reason};
 use pearfork_fleet::state::{HeldLine, LinkLine};
 use pearfork_fleet::FleetView;
@@ -93,7 +93,7 @@
 /// Answers a call that gives no order; `snapshot` is `None` where the engine did not answer in time.
 pub(crate) fn answer(
     call: Call<'_>,
-    plan: &HostPlan,
+    plan: &HostSettings,
     snapshot: Option<Snapshot>,
     sessions: usize,
     draining: bool,
@@ -156,7 +156,7 @@
     snapshot.listed.values().map(status).collect()
 }
 
-fn volumes<'a>(plan: &'a HostPlan, s: &Snapshot) -> Vec<VolumeStatus<'a>> {
+fn volumes<'a>(plan: &'a HostSettings, s: &Snapshot) -> Vec<VolumeStatus<'a>> {
     let mut reasons = s.reasons_by(|k| (k.volume, k.failed));
     let status = |v| {
         let v: &'a crate::volumes::Volume = v;
@@ -165,7 +165,7 @@
         VolumeStatus {
             name: &v.name,
             target: &v.target,
-            lun: v.unit_number,
+            lun: v.lun,
             bytes,
             plan: &plan.plan_names[usize::from(v.plan)],
             refused: of(false),
@@ -214,7 +214,7 @@
 }
 
 /// The usual text format of metrics, one family after the other.
-fn metrics(plan: &HostPlan, s: &Snapshot, sessions: usize, fleet: Option<&FleetView>) -> String {
+fn metrics(plan: &HostSettings, s: &Snapshot, sessions: usize, fleet: Option<&FleetView>) -> String {
     let mut out = String::new();
     let mut family = |name: &str, kind: &str, help: &str, lines: Vec<(String, f64)>| {
         let _ = writeln!(out, "# HELP pearfork_{name} {help}\n# TYPE pearfork_{name} {kind}");
@@ -269,7 +269,7 @@
             ("timed_out", c.timed_out),
             ("connect_failed", c.connect_failed),
             ("reset", c.reset),
-            ("not_sent", c.moot),
+            ("not_sent", c.not_sent),
             ("cancelled", c.cancelled),
         ] {
             attempts.push((format!("{{node=\"{node}\",end=\"{end}\"}}"), n as f64));
@@ -277,7 +277,7 @@
     }
     family("attempts_total", "counter", "Attempts by node and how they ended.", attempts);
     let further =
-        s.nodes.iter().map(|(node, c)| (format!("{{node=\"{node}\"}}"), c.further as f64)).collect();
+        s.nodes.iter().map(|(node, c)| (format!("{{node=\"{node}\"}}"), c.retries as f64)).collect();
     family("further_attempts_total", "counter", "Attempts beyond a request's first.", further);
     family("commands_open", "gauge", "Commands without an answer.", vec![(String::new(), s.open as f64)]);
     family("sessions", "gauge", "Sessions of clients.", vec![(String::new(), sessions as f64)]);
--- a/crates/host/src/volumes.rs
+++ b/crates/host/src/volumes.rs
@@ -19,7 +19,7 @@
     /// The target under which it is found.
     pub target: String,
     /// Its unit number there.
-    pub unit_number: u16,
+    pub lun: u16,
     /// Size and identity toward clients.
     pub unit: Unit,
     /// Blocks in an extent.
@@ -109,7 +109,7 @@
             id: VolumeId(2),
             name: "v".to_owned(),
             target: "t".to_owned(),
-            unit_number: 0,
+            lun: 0,
             unit: Unit { blocks, block_len: 512, serial: "v".to_owned() },
             extent_blocks,
             shards,
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -3,7 +3,7 @@
 use pearfork_host::dispatcher::{
     AttemptId, Dispatcher, Effect, Ended, Final, Input, Order, Origin, Served, Submission,
 };
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::volumes::VolumeId;
 use pearfork_iscsi::Payload;
 use pearfork_scsi::{Media, MediaOp};
@@ -20,7 +20,7 @@
 
 impl Host {
     fn new() -> Host {
-        let plan = HostPlan::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
+        let plan = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
         let mut h = Host { d: Dispatcher::new(Arc::new(plan), 1, 77).unwrap(), now: T0, next: 1 };
         let node = |n: u32| pearfork::NodeEntry {
             node: n + 10,
@@ -217,11 +217,13 @@
     // A write is keyed: it goes again after a reset.
     let (_, out) = h.submit(MediaOp::Write, 0, 8);
     let first = sends(&out).remove(0).1;
-    let plan = HostPlan::from_toml(text).unwrap();
+    let plan = HostSettings::from_toml(text).unwrap();
     let all_unsafe = text
         .replace("class \"write\" if op == \"write\";", "class \"compare-and-write\" if op == \"write\";");
     assert_ne!(all_unsafe, text);
-    h.give(Input::Matching(plan.rematch(&HostPlan::from_toml(&all_unsafe).unwrap()).unwrap()));
+    h.give(Input::Matching(
+        plan.compatible_matching(&HostSettings::from_toml(&all_unsafe).unwrap()).unwrap(),
+    ));
     let (_, out) = h.submit(MediaOp::Write, 64, 8);
     let second = sends(&out).remove(0).1;
     let mut out = h.give(Input::Ended(first.attempt, Ended::Reset, None));
@@ -230,6 +232,6 @@
     let again: Vec<u64> = sends(&out).iter().map(|s| s.1.media.lba).collect();
     assert_eq!(again, [0], "the second may not go again: it came as unsafe");
     // Classes are not exchanged under a running host.
-    let other = HostPlan::from_toml(&text.replace("aim = \"150ms\"", "aim = \"160ms\"")).unwrap();
-    assert!(plan.rematch(&other).unwrap_err().to_string().contains("anew"));
+    let other = HostSettings::from_toml(&text.replace("aim = \"150ms\"", "aim = \"160ms\"")).unwrap();
+    assert!(plan.compatible_matching(&other).unwrap_err().to_string().contains("anew"));
 }
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -1,6 +1,6 @@
 //! Loads through a real host before stand-in nodes.
 
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_load::figures::End;
 use pearfork_load::run::run;
@@ -24,11 +24,11 @@
     fn new() -> World {
         let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let text = include_str!("../../day/days/bad-day-hosts.toml");
-        let mut plan = HostPlan::from_toml(text).unwrap_or_else(|e| panic!("{e}"));
+        let mut plan = HostSettings::from_toml(text).unwrap_or_else(|e| panic!("{e}"));
         let fleet =
-            Fleet::start(&FleetSpec::default(), &plan.module, anywhere, Duration::ZERO, &Recorder::off())
+            Fleet::start(&FleetSpec::default(), &plan.scheduler, anywhere, Duration::ZERO, &Recorder::off())
                 .unwrap();
-        plan.module.hosts = 1;
+        plan.scheduler.hosts = 1;
         plan.volumes.iter_mut().for_each(|v| v.hosts = 1);
         (plan.listen, plan.http, plan.directory) = (anywhere, Some(anywhere), fleet.directory().address());
         let host = Host::start(plan).unwrap();
@@ -42,8 +42,8 @@
     }
 
     fn unit(&self, volume: usize) -> UnitUrl {
-        let v = &self.host.plan().volumes[volume];
-        UnitUrl { address: self.host.address(), target: v.target.clone(), lun: v.unit_number }
+        let v = &self.host.settings().volumes[volume];
+        UnitUrl { address: self.host.address(), target: v.target.clone(), lun: v.lun }
     }
 
     fn plan(&self, pace: Pace) -> Plan {
@@ -112,7 +112,7 @@
     let (figures, took) = std::thread::scope(|s| {
         let load = s.spawn(|| run(&plan));
         std::thread::sleep(ms(700));
-        w.host.stand_still(ms(800));
+        w.host.stall_engine(ms(800));
         load.join().unwrap().unwrap()
     });
     let ended: u64 =
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -26,7 +26,7 @@
 fn a_recorded_day_is_judged_as_it_was_when_it_was_played_and_a_spoiled_one_is_not() {
     let folder = Folder(std::env::temp_dir().join(format!("pearfork-replay-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
-    let plan = pearfork_host::settings::HostPlan::from_toml(pearfork_day::DEMO.1).unwrap();
+    let plan = pearfork_host::settings::HostSettings::from_toml(pearfork_day::DEMO.1).unwrap();
     let day = pearfork_day::script::Day::from_toml(DAY).unwrap();
     let result =
         pearfork_day::play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -2,7 +2,7 @@
 
 use pearfork_day::script::Day;
 use pearfork_day::{play, DEMO};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_report::account::{account, Ends};
 use pearfork_report::page;
 
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_report_counts_what_clients_and_nodes_saw_and_needs_no_network() {
-    let (day, plan) = (Day::from_toml(DAY).unwrap(), HostPlan::from_toml(DEMO.1).unwrap());
+    let (day, plan) = (Day::from_toml(DAY).unwrap(), HostSettings::from_toml(DEMO.1).unwrap());
     let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
     let mut recording = result.recording("a <script>alert(1)</script> day", &day, &plan);
     // Each refusal and failure has its reason, and one only.
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -5,7 +5,7 @@
 use pearfork_day::script::Day;
 use pearfork_day::summary::Summary;
 use pearfork_day::{asked, play};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_trial::{draw, shrink, Processes, Program};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
             Ok(if right { Exit::Fine } else { Exit::No })
         }
         Command::Demo => {
-            let plan = HostPlan::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
+            let plan = HostSettings::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
             let script = Day::from_toml(DEMO.0).map_err(|e| e.to_string())?;
             let right = one(&a, "demo", &script, &plan, DEMO.1, true)?;
             Ok(if right { Exit::Fine } else { Exit::No })
@@ -139,7 +139,7 @@
     a: &Arguments,
     name: &str,
     day: &Day,
-    plan: &HostPlan,
+    plan: &HostSettings,
     settings: &str,
     loud: bool,
 ) -> Result<bool, String> {
--- a/crates/trial/src/processes.rs
+++ b/crates/trial/src/processes.rs
@@ -5,7 +5,7 @@
 use pearfork_day::script::{Day, EventKind, EventTable};
 use pearfork_day::DayError;
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
-use pearfork_host::settings::HostPlan;
+use pearfork_host::settings::HostSettings;
 use pearfork_net::{free_addresses, http};
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
@@ -215,7 +215,7 @@
     fn start(
         &mut self,
         day: &Day,
-        plan: &HostPlan,
+        plan: &HostSettings,
         directory: SocketAddr,
     ) -> Result<Vec<SocketAddr>, DayError> {
         self.classes = plan.class_names.clone();
