--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use pearfork_cli::Exit;
 use pearfork_platform::config::Config;
-use pearfork_serving::Serving;
+use pearfork_serving::Service;
 use signal_hook::consts::SIGHUP;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
 /// Serves until SIGTERM or SIGINT; on SIGHUP the file is read anew.
 pub fn serve(named: Option<PathBuf>, signals: &Receiver<i32>) -> Result<Exit, String> {
     let file = file(named)?;
-    let host = Serving::start(read(&file)?).map_err(|e| e.to_string())?;
+    let host = Service::start(read(&file)?).map_err(|e| e.to_string())?;
     let mut again = None;
     loop {
         match next(signals, again) {
@@ -55,11 +55,11 @@
 ///
 /// Danger: a file that is half written or wrong must not end a host that serves; the old one stays in force. One that is
 /// whole a moment later is told by no further signal.
-fn read_anew(host: &Serving, file: &Path, until: Instant) -> Option<Instant> {
+fn read_anew(host: &Service, file: &Path, until: Instant) -> Option<Instant> {
     match read(file) {
         Ok(new) => {
             tracing::info!(discovery = %new.discovery, "configuration read anew");
-            host.follow(new.discovery);
+            host.set_discovery_address(new.discovery);
             None
         }
         Err(why) if Instant::now() < until => {
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -3,7 +3,7 @@
 
 mod program;
 
-use pearfork_platform::clients::{client_room, node_room};
+use pearfork_platform::clients::{max_client_connections, max_node_connections};
 use program::agent::{Agent, Manner};
 use program::crowd::Crowd;
 use program::{
@@ -207,7 +207,7 @@
     let known = list(5, serves, "a", 3);
     let agent = Agent::start(Manner::Answers(Duration::ZERO, 5, known.clone()));
     let descriptors = 128;
-    let kept = descriptors - client_room(descriptors) - node_room(descriptors);
+    let kept = descriptors - max_client_connections(descriptors) - max_node_connections(descriptors);
     write_limited(&file_in(&folder), listen, agent.address, &known, descriptors);
     let program = Program::start_limited(&file_in(&folder), descriptors);
     ready_after(listen, Instant::now());
@@ -253,7 +253,9 @@
     };
     all_at_once(&mut usual);
     let crowd = Crowd::start(listen, descriptors + BEYOND);
-    until("all rooms are full", || count.most() >= client_room(descriptors) + node_room(descriptors));
+    until("all rooms are full", || {
+        count.most() >= max_client_connections(descriptors) + max_node_connections(descriptors)
+    });
     println!("{} of {descriptors} descriptors, {} idle clients", count.most(), crowd.up());
     let new = node_that_hears(Duration::ZERO);
     agent.becomes(Manner::Answers(Duration::ZERO, 9, whole_list(9, &[line("s-9", new.0, 0, "SERVING")])));
--- a/crates/gateway/tests/soak_world/node.rs
+++ b/crates/gateway/tests/soak_world/node.rs
@@ -1,7 +1,7 @@
 //! Nodes that misbehave on the wire, and note every command with the moment of its last byte.
 
 use super::plan::Draw;
-use pearfork_resp::{Command, CommandLimits, Commands};
+use pearfork_resp::{Command, CommandDecoder, CommandLimits};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -109,7 +109,8 @@
     started: &Started,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut commands = Commands::new(CommandLimits { words: 8, word: 1 << 17, whole: 1 << 18 });
+    let mut commands =
+        CommandDecoder::new(CommandLimits { args: 8, arg_bytes: 1 << 17, total_bytes: 1 << 18 });
     let mut piece = [0; 4096];
     while let Ok(n @ 1..) = stream.read(&mut piece) {
         commands.buffer().extend_from_slice(&piece[..n]);
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -22,13 +22,13 @@
 
 /// Client connections that a host may hold of so many descriptors. Requests come on a third of them at most; the
 /// rest is room for those that only connect.
-pub fn client_room(descriptors: usize) -> usize {
+pub fn max_client_connections(descriptors: usize) -> usize {
     ((descriptors.saturating_sub(KEPT)) as f64 * CLIENT_PART) as usize
 }
 
 /// Connections to nodes that it may hold.
-pub fn node_room(descriptors: usize) -> usize {
-    descriptors.saturating_sub(KEPT + client_room(descriptors)).max(1)
+pub fn max_node_connections(descriptors: usize) -> usize {
+    descriptors.saturating_sub(KEPT + max_client_connections(descriptors)).max(1)
 }
 
 /// Names a connection.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,6 +1,6 @@
 //! The file that the platform starts a host with: JSON, its names the platform's.
 
-use crate::nodes::{parse_value, ListFault, Listing};
+use crate::node_list::{parse_value, ListFault, Listing};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
 
 /// Names of classes and plans by position, and what they allow.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Vocabulary {
+pub struct RequestSchema {
     /// Classes.
     pub classes: Vec<ClassWord>,
     /// Plans.
@@ -66,7 +66,7 @@
     /// Connections to nodes.
     pub links: Links,
     /// Names in requests.
-    pub words: Vocabulary,
+    pub words: RequestSchema,
 }
 
 /// What is wrong with a configuration.
@@ -117,7 +117,7 @@
     v.get("Name").and_then(Value::as_str).map(str::to_owned).ok_or_else(|| bad(field, v))
 }
 
-fn words(settings: &Value, module: &pearfork::Settings) -> Result<Vocabulary, ConfigFault> {
+fn words(settings: &Value, module: &pearfork::Settings) -> Result<RequestSchema, ConfigFault> {
     let list = |path| settings.get(path).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     let writes = settings.pointer("/Domain/ClassWrites").and_then(Value::as_array);
     let mut classes = Vec::new();
@@ -131,7 +131,7 @@
     let plans =
         list("Plans").iter().map(|v| named(v, "settings.Plans.Name")).collect::<Result<Vec<_>, _>>()?;
     let shards = settings.pointer("/Domain/SlotsTotal").and_then(Value::as_u64).unwrap_or(0);
-    Ok(Vocabulary {
+    Ok(RequestSchema {
         classes,
         plans,
         shards: u16::try_from(shards).unwrap_or(u16::MAX),
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/node_reply.rs
@@ -7,7 +7,7 @@
 use pearfork_resp::{Reply, ReplyLimits};
 
 /// What a reply of a node may hold.
-pub const REPLY: ReplyLimits = ReplyLimits { line: 512, bulk: MAX_VALUE, elements: 3 };
+pub const LIMITS: ReplyLimits = ReplyLimits { line_bytes: 512, bulk_bytes: MAX_VALUE, elements: 3 };
 
 /// How an attempt ended by a node's own word.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +23,7 @@
 /// Reads a reply.
 ///
 /// What is no answer of the protocol has failed and may have run: it is an error, never a value.
-pub fn read(reply: Reply) -> Answer {
+pub fn parse(reply: Reply) -> Answer {
     let failed = |told| Answer { verdict: AttemptResult::Error, value: None, told };
     match reply {
         Reply::Array(Some(parts)) => {
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,6 +1,6 @@
 //! A client's command, read into what the module is told, and written anew for a node.
 
-use crate::config::Vocabulary;
+use crate::config::RequestSchema;
 use bytes::{Bytes, BytesMut};
 use pearfork::Request;
 use pearfork_resp::{write, CommandLimits};
@@ -8,7 +8,8 @@
 /// Most bytes of a value.
 pub const MAX_VALUE: usize = 64 * 1024;
 /// What a command of a client may hold: five words, of which the last is a value.
-pub const COMMAND: CommandLimits = CommandLimits { words: 8, word: MAX_VALUE, whole: MAX_VALUE + 1024 };
+pub const COMMAND_LIMITS: CommandLimits =
+    CommandLimits { args: 8, arg_bytes: MAX_VALUE, total_bytes: MAX_VALUE + 1024 };
 /// Most bytes of the list of names and values.
 const MAX_LIST: usize = 512;
 /// Most bytes of an id, and hex digits of a piece, a volume, a key.
@@ -102,7 +103,7 @@
 ///
 /// # Errors
 /// What is wrong with it, for the client's error line.
-pub fn parse(words: &[Bytes], vocabulary: &Vocabulary) -> Result<Parsed, RequestFault> {
+pub fn parse(words: &[Bytes], vocabulary: &RequestSchema) -> Result<Parsed, RequestFault> {
     let name = words.first().ok_or(RequestFault::Words)?;
     if name.eq_ignore_ascii_case(b"PING") {
         return if words.len() == 1 { Ok(Parsed::Ping) } else { Err(RequestFault::Words) };
--- a/crates/platform/tests/connections.rs
+++ b/crates/platform/tests/connections.rs
@@ -1,7 +1,7 @@
 //! Which client connections stay, and which connection to a node carries an attempt.
 
 use pearfork_drive::AttemptId;
-use pearfork_platform::clients::{client_room, node_room, AfterFault, ClientTable};
+use pearfork_platform::clients::{max_client_connections, max_node_connections, AfterFault, ClientTable};
 use pearfork_platform::config::Links;
 use pearfork_platform::pool::{Do, Pool};
 
@@ -260,11 +260,11 @@
 #[test]
 fn descriptors_are_dealt_out_with_some_kept() {
     for descriptors in [1, 24, 25, 64, 256, 1024] {
-        let (clients, nodes) = (client_room(descriptors), node_room(descriptors));
+        let (clients, nodes) = (max_client_connections(descriptors), max_node_connections(descriptors));
         assert!(clients + nodes < descriptors.max(2), "{descriptors}: {clients} and {nodes}");
     }
     // Requests come on a third of them.
-    assert!(client_room(256) > 256 / 3 + 16);
+    assert!(max_client_connections(256) > 256 / 3 + 16);
 }
 
 /// Danger: a crowd that only connects takes the places of those that ask.
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -2,16 +2,16 @@
 
 use bytes::Bytes;
 use pearfork::{AttemptResult, ListKind, NodeState};
-use pearfork_platform::answer;
-use pearfork_platform::config::{ClassWord, Config, Vocabulary};
-use pearfork_platform::nodes::{self, NodeTable};
+use pearfork_platform::config::{ClassWord, Config, RequestSchema};
+use pearfork_platform::node_list::{self, NodeTable};
+use pearfork_platform::node_reply;
 use pearfork_platform::request::{self, Parsed, RequestFault};
-use pearfork_resp::{Replies, Reply};
+use pearfork_resp::{Reply, ReplyDecoder};
 use proptest::prelude::*;
 
-fn vocabulary() -> Vocabulary {
+fn vocabulary() -> RequestSchema {
     let class = |name: &str, keyed, writes| ClassWord { name: name.to_owned(), keyed, writes: Some(writes) };
-    Vocabulary {
+    RequestSchema {
         classes: vec![class("read", false, false), class("write", true, true)],
         plans: vec!["gold".to_owned()],
         shards: 8,
@@ -94,10 +94,10 @@
     assert!(parse(&["OBJ.PUT", PIECE, ID, &no_key, "B"]).unwrap_err().to_string().starts_with("k is"));
 }
 
-fn answer(bytes: &[u8]) -> answer::Answer {
-    let mut replies = Replies::new(answer::REPLY);
+fn answer(bytes: &[u8]) -> node_reply::Answer {
+    let mut replies = ReplyDecoder::new(node_reply::LIMITS);
     replies.buffer().extend_from_slice(bytes);
-    answer::read(replies.next_reply().unwrap().unwrap())
+    node_reply::parse(replies.next_reply().unwrap().unwrap())
 }
 
 #[test]
@@ -143,10 +143,10 @@
         let a = answer(bytes);
         assert_eq!((a.verdict, a.value), (AttemptResult::Error, None), "{}", String::from_utf8_lossy(bytes));
     }
-    assert_eq!(answer::read(Reply::Array(None)).verdict, AttemptResult::Error);
+    assert_eq!(node_reply::parse(Reply::Array(None)).verdict, AttemptResult::Error);
 }
 
-fn list(seq: u64, whole: bool, lines: &[(&str, &str, &str, u64)]) -> nodes::Listing {
+fn list(seq: u64, whole: bool, lines: &[(&str, &str, &str, u64)]) -> node_list::Listing {
     let lines: Vec<String> = lines
         .iter()
         .map(|(host, dial, health, born)| {
@@ -154,7 +154,7 @@
         })
         .collect();
     let text = format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, lines.join(","));
-    nodes::parse(text.as_bytes()).unwrap()
+    node_list::parse(text.as_bytes()).unwrap()
 }
 
 #[test]
@@ -226,7 +226,7 @@
 fn a_list_that_makes_no_sense_names_line_and_field() {
     let bad = |from: &str, to: &str| {
         let text = r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","block":3,"health":"SERVING","born_ms":0}]}"#;
-        nodes::parse(text.replace(from, to).as_bytes()).unwrap_err().to_string()
+        node_list::parse(text.replace(from, to).as_bytes()).unwrap_err().to_string()
     };
     assert!(bad("SERVING", "FINE").contains("hosts[0].health"));
     assert!(bad("127.0.0.1:1", "here").contains("hosts[0].dial"));
@@ -273,12 +273,12 @@
             words[3] = format!("{READ},{text}").into();
             let _ = request::parse(&words[..4], &vocabulary());
         }
-        let _ = nodes::parse(text.as_bytes());
+        let _ = node_list::parse(text.as_bytes());
         let _ = Config::parse(text.as_bytes());
-        let mut replies = Replies::new(answer::REPLY);
+        let mut replies = ReplyDecoder::new(node_reply::LIMITS);
         replies.buffer().extend_from_slice(&bytes);
         while let Ok(Some(reply)) = replies.next_reply() {
-            let _ = answer::read(reply);
+            let _ = node_reply::parse(reply);
         }
     }
 }
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommandLimits {
     /// Most words.
-    pub words: usize,
+    pub args: usize,
     /// Most bytes of a word.
-    pub word: usize,
+    pub arg_bytes: usize,
     /// Most bytes of all words of a command.
-    pub whole: usize,
+    pub total_bytes: usize,
 }
 
 /// Why a stream of commands can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CommandFault {
+pub enum CommandError {
     /// It does not begin with `*`.
     #[error("expected '*', an array of bulk strings")]
     NotAnArray,
@@ -45,7 +45,7 @@
 
 /// Takes bytes, gives commands.
 #[derive(Debug)]
-pub struct Commands {
+pub struct CommandDecoder {
     limits: CommandLimits,
     buffer: BytesMut,
     /// Words still to come of the command that is being read, and those that came.
@@ -54,14 +54,14 @@
     held: usize,
     /// Length of the word whose line was read.
     word: Option<usize>,
-    fault: Option<CommandFault>,
+    fault: Option<CommandError>,
 }
 
-impl Commands {
+impl CommandDecoder {
     /// Nothing read yet.
-    pub fn new(limits: CommandLimits) -> Commands {
+    pub fn new(limits: CommandLimits) -> CommandDecoder {
         let buffer = BytesMut::new();
-        Commands { limits, buffer, left: 0, words: Vec::new(), held: 0, word: None, fault: None }
+        CommandDecoder { limits, buffer, left: 0, words: Vec::new(), held: 0, word: None, fault: None }
     }
 
     /// Where bytes that came are appended.
@@ -70,7 +70,7 @@
     }
 
     /// Whether a command has begun and not ended.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.left > 0 || !self.buffer.is_empty()
     }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// The stream is of no further use; the same is told again.
-    pub fn next_command(&mut self) -> Result<Option<Command>, CommandFault> {
+    pub fn next_command(&mut self) -> Result<Option<Command>, CommandError> {
         match self.fault {
             Some(fault) => Err(fault),
             None => self.read().inspect_err(|fault| {
@@ -89,14 +89,14 @@
         }
     }
 
-    fn read(&mut self) -> Result<Option<Command>, CommandFault> {
+    fn read(&mut self) -> Result<Option<Command>, CommandError> {
         if self.left == 0 {
-            let Some(words) = self.length(b'*', CommandFault::NotAnArray)? else { return Ok(None) };
+            let Some(words) = self.length(b'*', CommandError::NotAnArray)? else { return Ok(None) };
             if words < 1 {
-                return Err(CommandFault::Length);
+                return Err(CommandError::Length);
             }
-            if words > self.limits.words as i64 {
-                return Err(CommandFault::Words);
+            if words > self.limits.args as i64 {
+                return Err(CommandError::Words);
             }
             (self.left, self.held) = (words as usize, 0);
         }
@@ -104,13 +104,15 @@
             let len = match self.word {
                 Some(len) => len,
                 None => {
-                    let Some(len) = self.length(b'$', CommandFault::NotABulk)? else { return Ok(None) };
+                    let Some(len) = self.length(b'$', CommandError::NotABulk)? else { return Ok(None) };
                     if len < 0 {
-                        return Err(CommandFault::Length);
+                        return Err(CommandError::Length);
                     }
                     // Danger: a stated length is believed only within the limit, before a byte of it is kept.
-                    if len > self.limits.word as i64 || self.held + len as usize > self.limits.whole {
-                        return Err(CommandFault::TooBig);
+                    if len > self.limits.arg_bytes as i64
+                        || self.held + len as usize > self.limits.total_bytes
+                    {
+                        return Err(CommandError::TooBig);
                     }
                     *self.word.insert(len as usize)
                 }
@@ -119,7 +121,7 @@
                 return Ok(None);
             }
             if &self.buffer[len..len + 2] != b"\r\n" {
-                return Err(CommandFault::Mismatch);
+                return Err(CommandError::Mismatch);
             }
             self.words.push(self.buffer.split_to(len).freeze());
             self.buffer.advance(2);
@@ -128,7 +130,7 @@
         Ok(Some(std::mem::take(&mut self.words)))
     }
 
-    fn length(&mut self, marker: u8, otherwise: CommandFault) -> Result<Option<i64>, CommandFault> {
+    fn length(&mut self, marker: u8, otherwise: CommandError) -> Result<Option<i64>, CommandError> {
         match self.buffer.first() {
             None => return Ok(None),
             Some(first) if *first != marker => return Err(otherwise),
@@ -136,8 +138,8 @@
         }
         match take_line(&mut self.buffer, NUMBER_LINE) {
             Line::Partial => Ok(None),
-            Line::Bad => Err(CommandFault::Line),
-            Line::Whole(line) => number(&line[1..]).map(Some).ok_or(CommandFault::Line),
+            Line::Bad => Err(CommandError::Line),
+            Line::Whole(line) => number(&line[1..]).map(Some).ok_or(CommandError::Line),
         }
     }
 }
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -22,16 +22,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyLimits {
     /// Most bytes of a line.
-    pub line: usize,
+    pub line_bytes: usize,
     /// Most bytes of a bulk string.
-    pub bulk: usize,
+    pub bulk_bytes: usize,
     /// Most elements of an array.
     pub elements: usize,
 }
 
 /// Why a stream of replies can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ReplyFault {
+pub enum ReplyError {
     /// No marker of a reply.
     #[error("no reply begins so")]
     Marker,
@@ -54,19 +54,19 @@
 
 /// Takes bytes, gives replies.
 #[derive(Debug)]
-pub struct Replies {
+pub struct ReplyDecoder {
     limits: ReplyLimits,
     buffer: BytesMut,
     /// Elements still to come of the array that is being read, and those that came.
     array: Option<(usize, Vec<Reply>)>,
     bulk: Option<usize>,
-    fault: Option<ReplyFault>,
+    fault: Option<ReplyError>,
 }
 
-impl Replies {
+impl ReplyDecoder {
     /// Nothing read yet.
-    pub fn new(limits: ReplyLimits) -> Replies {
-        Replies { limits, buffer: BytesMut::new(), array: None, bulk: None, fault: None }
+    pub fn new(limits: ReplyLimits) -> ReplyDecoder {
+        ReplyDecoder { limits, buffer: BytesMut::new(), array: None, bulk: None, fault: None }
     }
 
     /// Where bytes that came are appended.
@@ -75,7 +75,7 @@
     }
 
     /// Whether bytes came that belong to no reply given yet.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.array.is_some() || self.bulk.is_some() || !self.buffer.is_empty()
     }
 
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// The stream is of no further use; the same is told again.
-    pub fn next_reply(&mut self) -> Result<Option<Reply>, ReplyFault> {
+    pub fn next_reply(&mut self) -> Result<Option<Reply>, ReplyError> {
         match self.fault {
             Some(fault) => Err(fault),
             None => self.read().inspect_err(|fault| {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn read(&mut self) -> Result<Option<Reply>, ReplyFault> {
+    fn read(&mut self) -> Result<Option<Reply>, ReplyError> {
         loop {
             let Some(reply) = self.element()? else { return Ok(None) };
             match &mut self.array {
@@ -111,14 +111,14 @@
     }
 
     /// A reply that is no array, an empty or a null array, or the head of an array followed by its first element.
-    fn element(&mut self) -> Result<Option<Reply>, ReplyFault> {
+    fn element(&mut self) -> Result<Option<Reply>, ReplyError> {
         loop {
             if let Some(len) = self.bulk {
                 if self.buffer.len() < len + 2 {
                     return Ok(None);
                 }
                 if &self.buffer[len..len + 2] != b"\r\n" {
-                    return Err(ReplyFault::Mismatch);
+                    return Err(ReplyError::Mismatch);
                 }
                 self.bulk = None;
                 let value = self.buffer.split_to(len).freeze();
@@ -127,32 +127,32 @@
             }
             let Some(marker) = self.buffer.first().copied() else { return Ok(None) };
             let most = match marker {
-                b'+' | b'-' => self.limits.line,
+                b'+' | b'-' => self.limits.line_bytes,
                 b':' | b'$' | b'*' => NUMBER_LINE,
-                _ => return Err(ReplyFault::Marker),
+                _ => return Err(ReplyError::Marker),
             };
             let line = match take_line(&mut self.buffer, most) {
                 Line::Partial => return Ok(None),
-                Line::Bad => return Err(ReplyFault::Line),
+                Line::Bad => return Err(ReplyError::Line),
                 Line::Whole(line) => line.slice(1..),
             };
-            let count = || number(&line).ok_or(ReplyFault::Line);
+            let count = || number(&line).ok_or(ReplyError::Line);
             match marker {
                 b'+' => return Ok(Some(Reply::Simple(line))),
                 b'-' => return Ok(Some(Reply::Error(line))),
                 b':' => return Ok(Some(Reply::Integer(count()?))),
                 b'$' => match count()? {
                     -1 => return Ok(Some(Reply::Bulk(None))),
-                    n if n < 0 => return Err(ReplyFault::Length),
-                    n if n > self.limits.bulk as i64 => return Err(ReplyFault::TooBig),
+                    n if n < 0 => return Err(ReplyError::Length),
+                    n if n > self.limits.bulk_bytes as i64 => return Err(ReplyError::TooBig),
                     n => self.bulk = Some(n as usize),
                 },
                 _ => match count()? {
-                    _ if self.array.is_some() => return Err(ReplyFault::Nested),
+                    _ if self.array.is_some() => return Err(ReplyError::Nested),
                     -1 => return Ok(Some(Reply::Array(None))),
                     0 => return Ok(Some(Reply::Array(Some(Vec::new())))),
-                    n if n < 0 => return Err(ReplyFault::Length),
-                    n if n > self.limits.elements as i64 => return Err(ReplyFault::TooBig),
+                    n if n < 0 => return Err(ReplyError::Length),
+                    n if n > self.limits.elements as i64 => return Err(ReplyError::TooBig),
                     n => self.array = Some((n as usize, Vec::new())),
                 },
             }
--- a/crates/resp/tests/streams.rs
+++ b/crates/resp/tests/streams.rs
@@ -1,14 +1,16 @@
 //! Whole, in pieces, and spoilt.
 
 use bytes::BytesMut;
-use pearfork_resp::{write, CommandFault, CommandLimits, Commands, Replies, Reply, ReplyFault, ReplyLimits};
+use pearfork_resp::{
+    write, CommandDecoder, CommandError, CommandLimits, Reply, ReplyDecoder, ReplyError, ReplyLimits,
+};
 use proptest::prelude::*;
 
-const COMMANDS: CommandLimits = CommandLimits { words: 5, word: 64, whole: 128 };
-const REPLIES: ReplyLimits = ReplyLimits { line: 40, bulk: 64, elements: 4 };
+const COMMANDS: CommandLimits = CommandLimits { args: 5, arg_bytes: 64, total_bytes: 128 };
+const REPLIES: ReplyLimits = ReplyLimits { line_bytes: 40, bulk_bytes: 64, elements: 4 };
 
-fn commands(bytes: &[u8], piece: usize) -> Result<Vec<Vec<Vec<u8>>>, CommandFault> {
-    let (mut reader, mut all) = (Commands::new(COMMANDS), Vec::new());
+fn commands(bytes: &[u8], piece: usize) -> Result<Vec<Vec<Vec<u8>>>, CommandError> {
+    let (mut reader, mut all) = (CommandDecoder::new(COMMANDS), Vec::new());
     for piece in bytes.chunks(piece.max(1)) {
         reader.buffer().extend_from_slice(piece);
         while let Some(c) = reader.next_command()? {
@@ -18,8 +20,8 @@
     Ok(all)
 }
 
-fn replies(bytes: &[u8], piece: usize) -> Result<Vec<Reply>, ReplyFault> {
-    let (mut reader, mut all) = (Replies::new(REPLIES), Vec::new());
+fn replies(bytes: &[u8], piece: usize) -> Result<Vec<Reply>, ReplyError> {
+    let (mut reader, mut all) = (ReplyDecoder::new(REPLIES), Vec::new());
     for piece in bytes.chunks(piece.max(1)) {
         reader.buffer().extend_from_slice(piece);
         while let Some(r) = reader.next_reply()? {
@@ -44,19 +46,19 @@
 
 #[test]
 fn commands_that_make_no_sense_are_named() {
-    let cases: [(&[u8], CommandFault); 12] = [
-        (b"PING\r\n", CommandFault::NotAnArray),
-        (b"*0\r\n", CommandFault::Length),
-        (b"*-1\r\n", CommandFault::Length),
-        (b"*6\r\n", CommandFault::Words),
-        (b"*99999999999999999999999999", CommandFault::Line),
-        (b"*1\n", CommandFault::Line),
-        (b"*1\r\n:5\r\n", CommandFault::NotABulk),
-        (b"*1\r\n$-1\r\n", CommandFault::Length),
-        (b"*1\r\n$60000000\r\n", CommandFault::TooBig),
-        (b"*1\r\n$+4\r\nPING\r\n", CommandFault::Line),
-        (b"*1\r\n$3\r\nPING\r\n", CommandFault::Mismatch),
-        (b"*1\r\n$9223372036854775808\r\n", CommandFault::Line),
+    let cases: [(&[u8], CommandError); 12] = [
+        (b"PING\r\n", CommandError::NotAnArray),
+        (b"*0\r\n", CommandError::Length),
+        (b"*-1\r\n", CommandError::Length),
+        (b"*6\r\n", CommandError::Words),
+        (b"*99999999999999999999999999", CommandError::Line),
+        (b"*1\n", CommandError::Line),
+        (b"*1\r\n:5\r\n", CommandError::NotABulk),
+        (b"*1\r\n$-1\r\n", CommandError::Length),
+        (b"*1\r\n$60000000\r\n", CommandError::TooBig),
+        (b"*1\r\n$+4\r\nPING\r\n", CommandError::Line),
+        (b"*1\r\n$3\r\nPING\r\n", CommandError::Mismatch),
+        (b"*1\r\n$9223372036854775808\r\n", CommandError::Line),
     ];
     for (bytes, fault) in cases {
         assert_eq!(commands(bytes, 1).unwrap_err(), fault, "{}", String::from_utf8_lossy(bytes));
@@ -69,7 +71,7 @@
 fn the_words_together_are_bounded() {
     let mut out = BytesMut::new();
     write::command(&mut out, &[&[b'x'; 64], &[b'x'; 64], &[b'x'; 1]]);
-    assert_eq!(commands(&out, 7).unwrap_err(), CommandFault::TooBig);
+    assert_eq!(commands(&out, 7).unwrap_err(), CommandError::TooBig);
 }
 
 #[test]
@@ -88,14 +90,14 @@
 #[test]
 fn replies_that_make_no_sense_are_named() {
     let long = [b"-".to_vec(), vec![b'x'; 60]].concat();
-    let cases: [(&[u8], ReplyFault); 7] = [
-        (b"HTTP/1.1", ReplyFault::Marker),
-        (b"$3000000000\r\n", ReplyFault::TooBig),
-        (b"$-2\r\n", ReplyFault::Length),
-        (b"$2\r\nabc\r\n", ReplyFault::Mismatch),
-        (b"*1\r\n*1\r\n", ReplyFault::Nested),
-        (b"*5\r\n", ReplyFault::TooBig),
-        (&long, ReplyFault::Line),
+    let cases: [(&[u8], ReplyError); 7] = [
+        (b"HTTP/1.1", ReplyError::Marker),
+        (b"$3000000000\r\n", ReplyError::TooBig),
+        (b"$-2\r\n", ReplyError::Length),
+        (b"$2\r\nabc\r\n", ReplyError::Mismatch),
+        (b"*1\r\n*1\r\n", ReplyError::Nested),
+        (b"*5\r\n", ReplyError::TooBig),
+        (&long, ReplyError::Line),
     ];
     for (bytes, fault) in cases {
         assert_eq!(replies(bytes, 1).unwrap_err(), fault, "{}", String::from_utf8_lossy(bytes));
--- a/crates/serving/src/front.rs
+++ b/crates/serving/src/front.rs
@@ -7,10 +7,10 @@
 use crossbeam_channel::Sender;
 use pearfork_net::{lock, long_queue, Clock, Flusher, Ready, Want, WriteBuffer, MOST_TOLD};
 use pearfork_platform::clients::{AfterFault, ClientId, ClientTable};
-use pearfork_platform::config::Vocabulary;
+use pearfork_platform::config::RequestSchema;
 use pearfork_platform::life::{Effect, Event, Life, State};
 use pearfork_platform::request::{self, Parsed};
-use pearfork_resp::{write, Commands};
+use pearfork_resp::{write, CommandDecoder};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -55,7 +55,7 @@
 /// A connection as its reader has it.
 struct Reading {
     client: Arc<Client>,
-    commands: Commands,
+    commands: CommandDecoder,
     life: Life,
     /// What was read last had not come before this moment.
     came_after: f64,
@@ -109,7 +109,7 @@
 pub(crate) struct Front {
     pub(crate) mailbox: Arc<Mailbox>,
     pub(crate) table: Arc<Mutex<ClientTable>>,
-    pub(crate) vocabulary: Vocabulary,
+    pub(crate) vocabulary: RequestSchema,
     pub(crate) engine: Sender<Message>,
     pub(crate) clock: Clock,
     pub(crate) flusher: Flusher,
@@ -130,7 +130,7 @@
     pub(crate) fn new(
         mailbox: Arc<Mailbox>,
         table: Arc<Mutex<ClientTable>>,
-        vocabulary: Vocabulary,
+        vocabulary: RequestSchema,
         engine: Sender<Message>,
         clock: Clock,
         flusher: Flusher,
@@ -336,7 +336,7 @@
             lock(&self.table).left(id);
             return;
         }
-        let commands = Commands::new(request::COMMAND);
+        let commands = CommandDecoder::new(request::COMMAND_LIMITS);
         let (came_after, unread_since) = (now, self.queued_since);
         let reading = Reading { client, commands, life: Life::default(), came_after, unread_since };
         self.clients.insert(id, reading);
@@ -460,7 +460,7 @@
     fn take(
         &mut self,
         table: &Mutex<ClientTable>,
-        vocabulary: &Vocabulary,
+        vocabulary: &RequestSchema,
         engine: &Sender<Message>,
         clock: Clock,
     ) -> Taken {
@@ -469,7 +469,7 @@
             let words = match self.commands.next_command() {
                 Ok(Some(words)) => words,
                 Ok(None) => {
-                    if self.commands.is_within() {
+                    if self.commands.has_partial() {
                         lock(table).partial(clock.now_ms(), client.id);
                     }
                     return Taken::All;
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! `front` takes client connections and reads them all in one thread, `client` is one of them, `links` are the connections
 //! to nodes, read by another, `watch` follows discovery, `engine` is the one thread that owns the driver of the module,
-//! and [`Serving`] puts them together. The number of threads is the same whatever the number of connections. What a request gets is
+//! and [`Service`] puts them together. The number of threads is the same whatever the number of connections. What a request gets is
 //! the module's word; which connections stay and carry what is decided in `pearfork_platform`.
 
 mod client;
@@ -10,10 +10,10 @@
 mod front;
 mod links;
 mod pauses;
-mod serving;
+mod service;
 mod tally;
 mod watch;
 
 #[cfg(feature = "pauses")]
 pub use pauses::{Hold, Point, Prepare};
-pub use serving::{Serving, ServingError};
+pub use service::{Service, ServiceError};
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -7,9 +7,9 @@
 use pearfork::AttemptResult;
 use pearfork_drive::NodeReport;
 use pearfork_net::{begin_connect, is_shortage, lock, Clock, Flusher, Poller, Waiting, Want, WriteBuffer};
-use pearfork_platform::answer::{self, Answer};
+use pearfork_platform::node_reply::{self, Answer};
 use pearfork_platform::pool::LinkId;
-use pearfork_resp::Replies;
+use pearfork_resp::ReplyDecoder;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,7 +26,7 @@
 }
 
 struct State {
-    replies: Replies,
+    replies: ReplyDecoder,
     /// It has not come up yet.
     coming: bool,
     /// Commands without an answer.
@@ -101,7 +101,7 @@
             match self.replies.next_reply() {
                 Ok(Some(reply)) => {
                     (self.out, self.answers) = (self.out - 1, self.answers + 1);
-                    let answer = answer::read(reply);
+                    let answer = node_reply::parse(reply);
                     tracing::trace!(rested_ms = self.rested_ms as u64, answers = self.answers, verdict = ?answer.verdict, "answered");
                     told.push(answer);
                 }
@@ -119,7 +119,7 @@
             }
         }
         // More than was asked for.
-        !self.replies.is_within()
+        !self.replies.has_partial()
     }
 }
 
@@ -163,7 +163,7 @@
         let _ = stream.set_nodelay(true);
         self.pauses.connects(&stream);
         let state = State {
-            replies: Replies::new(answer::REPLY),
+            replies: ReplyDecoder::new(node_reply::LIMITS),
             coming: true,
             out: 0,
             over: false,
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/service.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::{bounded, Sender};
 use pearfork_drive::Driver;
 use pearfork_net::{get_to_start, lock, spawn_small, Clock, Flusher, Poller};
-use pearfork_platform::clients::{client_room, node_room, ClientTable};
+use pearfork_platform::clients::{max_client_connections, max_node_connections, ClientTable};
 use pearfork_platform::config::Config;
 use pearfork_platform::pool::Pool;
 use std::io;
@@ -20,7 +20,7 @@
 
 /// A host that could not start.
 #[derive(Debug, thiserror::Error)]
-pub enum ServingError {
+pub enum ServiceError {
     /// The address could not be listened at.
     #[error("cannot listen at {address}: {source}")]
     Listen {
@@ -69,7 +69,7 @@
 }
 
 /// A running host.
-pub struct Serving {
+pub struct Service {
     listener: Arc<TcpListener>,
     engine: Sender<Message>,
     mailbox: Arc<Mailbox>,
@@ -79,34 +79,34 @@
     longest: Duration,
 }
 
-impl Serving {
+impl Service {
     /// Starts a host.
     ///
     /// # Errors
     /// What the machine refuses: the address, threads. What the module refuses.
-    pub fn start(config: Config) -> Result<Serving, ServingError> {
-        Serving::start_with(config, Pauses::default())
+    pub fn start(config: Config) -> Result<Service, ServiceError> {
+        Service::start_with(config, Pauses::default())
     }
 
     /// The same, held at named points.
     ///
     /// # Errors
-    /// As [`Serving::start`].
+    /// As [`Service::start`].
     #[cfg(feature = "pauses")]
-    pub fn start_held(config: Config, hold: crate::pauses::Hold) -> Result<Serving, ServingError> {
-        Serving::start_with(config, Pauses { hold: Some(hold), prepare: None })
+    pub fn start_held(config: Config, hold: crate::pauses::Hold) -> Result<Service, ServiceError> {
+        Service::start_with(config, Pauses { hold: Some(hold), prepare: None })
     }
 
     /// The same, with each connection to a node prepared before it carries anything.
     ///
     /// # Errors
-    /// As [`Serving::start`].
+    /// As [`Service::start`].
     #[cfg(feature = "pauses")]
-    pub fn start_prepared(config: Config, prepare: crate::pauses::Prepare) -> Result<Serving, ServingError> {
-        Serving::start_with(config, Pauses { hold: None, prepare: Some(prepare) })
+    pub fn start_prepared(config: Config, prepare: crate::pauses::Prepare) -> Result<Service, ServiceError> {
+        Service::start_with(config, Pauses { hold: None, prepare: Some(prepare) })
     }
 
-    fn start_with(config: Config, pauses: Pauses) -> Result<Serving, ServingError> {
+    fn start_with(config: Config, pauses: Pauses) -> Result<Service, ServiceError> {
         let address = config.listen;
         let grace = Duration::from_secs_f64(config.module.drain_grace_ms / 1_000.0);
         let longest = config.module.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
@@ -114,12 +114,12 @@
         let clock = Clock::start();
         // Descriptors first: a host that gets none has begun nothing.
         let listener = get_to_start(|| TcpListener::bind(address));
-        let listener = Arc::new(listener.map_err(|source| ServingError::Listen { address, source })?);
+        let listener = Arc::new(listener.map_err(|source| ServiceError::Listen { address, source })?);
         let (node_poller, client_poller) = (get_to_start(Poller::new)?, get_to_start(Poller::new)?);
         let flusher = get_to_start(Flusher::start)?;
         let (engine, messages) = bounded(ENGINE_QUEUE);
-        let table = Arc::new(Mutex::new(ClientTable::new(client_room(config.limits.sockets))));
-        let pool = Pool::new(config.links, node_room(config.limits.sockets));
+        let table = Arc::new(Mutex::new(ClientTable::new(max_client_connections(config.limits.sockets))));
+        let pool = Pool::new(config.links, max_node_connections(config.limits.sockets));
         let mut nodes = Nodes::new(engine.clone(), clock, flusher.clone(), node_poller);
         nodes.pauses = pauses.clone();
         let nodes = Arc::new(nodes);
@@ -148,7 +148,7 @@
         spawn_small("clients", move || front.run(&accepting))?;
         tracing::info!(name = config.name, %address, "host listens");
         let longest = Duration::from_secs_f64(longest / 1_000.0);
-        Ok(Serving { listener, engine, mailbox, table, discovery, leaving, longest })
+        Ok(Service { listener, engine, mailbox, table, discovery, leaving, longest })
     }
 
     /// Where clients come.
@@ -168,7 +168,7 @@
     }
 
     /// Follows discovery at another address from now on, with the list as it is until that one tells its own.
-    pub fn follow(&self, discovery: SocketAddr) {
+    pub fn set_discovery_address(&self, discovery: SocketAddr) {
         self.discovery.change(discovery);
     }
 
@@ -202,7 +202,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for Service {
     fn drop(&mut self) {
         self.leaving.over.store(true, Ordering::SeqCst);
         self.mailbox.poller.wake();
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::engine::Message;
 use crossbeam_channel::Sender;
 use pearfork_net::{http, lock};
-use pearfork_platform::nodes;
+use pearfork_platform::node_list;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -154,7 +154,7 @@
         }
     }
 
-    fn call(&mut self, address: SocketAddr, since: Option<u64>) -> Result<nodes::Listing, String> {
+    fn call(&mut self, address: SocketAddr, since: Option<u64>) -> Result<node_list::Listing, String> {
         let wait = if self.retry.is_some() { self.pace.retry } else { self.pace.wait };
         let longest = self.retry.unwrap_or(Pace::whole(wait));
         let path = match since {
@@ -166,7 +166,7 @@
         if status != 200 {
             return Err(format!("{address}: status {status}"));
         }
-        let list = nodes::parse(&body).map_err(|e| format!("{address}: {e}"))?;
+        let list = node_list::parse(&body).map_err(|e| format!("{address}: {e}"))?;
         match since {
             None if !list.whole => Err(format!("{address}: changes, where the whole list was asked for")),
             // An agent that went back has begun anew: its whole list counts, and changes of it count for nothing here.
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -3,8 +3,8 @@
 use bytes::{Bytes, BytesMut};
 use pearfork_net::http::{Answer, Server};
 use pearfork_platform::config::Config;
-use pearfork_resp::{write, Command, CommandLimits, Commands, Replies, Reply, ReplyLimits};
-use pearfork_serving::Serving;
+use pearfork_resp::{write, Command, CommandDecoder, CommandLimits, Reply, ReplyDecoder, ReplyLimits};
+use pearfork_serving::Service;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -51,8 +51,8 @@
         for stream in listener.incoming() {
             let (mut stream, react, heard) = (stream.unwrap(), react.clone(), kept.clone());
             stand_in(move || {
-                let limits = CommandLimits { words: 8, word: 1 << 17, whole: 1 << 18 };
-                let mut commands = Commands::new(limits);
+                let limits = CommandLimits { args: 8, arg_bytes: 1 << 17, total_bytes: 1 << 18 };
+                let mut commands = CommandDecoder::new(limits);
                 let mut piece = [0; 4096];
                 while let Ok(n @ 1..) = stream.read(&mut piece) {
                     commands.buffer().extend_from_slice(&piece[..n]);
@@ -121,29 +121,29 @@
 }
 
 /// A host of a configuration.
-pub fn host_of(config: &serde_json::Value) -> (Serving, SocketAddr) {
-    let host = Serving::start(Config::parse(config.to_string().as_bytes()).unwrap()).unwrap();
+pub fn host_of(config: &serde_json::Value) -> (Service, SocketAddr) {
+    let host = Service::start(Config::parse(config.to_string().as_bytes()).unwrap()).unwrap();
     let address = host.address().unwrap();
     (host, address)
 }
 
 /// A host over nodes, one a shard, known from its start.
-pub fn host(discovery: &Server, nodes: &[SocketAddr]) -> (Serving, SocketAddr) {
+pub fn host(discovery: &Server, nodes: &[SocketAddr]) -> (Service, SocketAddr) {
     host_of(&config(discovery.address(), nodes))
 }
 
 /// A client's connection.
 pub struct Client {
     pub stream: TcpStream,
-    replies: Replies,
+    replies: ReplyDecoder,
 }
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        let limits = ReplyLimits { line: 512, bulk: 1 << 16, elements: 3 };
-        Client { stream, replies: Replies::new(limits) }
+        let limits = ReplyLimits { line_bytes: 512, bulk_bytes: 1 << 16, elements: 3 };
+        Client { stream, replies: ReplyDecoder::new(limits) }
     }
 
     pub fn send(&mut self, words: &[&str]) {
--- a/crates/serving/tests/crossings/departures.rs
+++ b/crates/serving/tests/crossings/departures.rs
@@ -10,7 +10,7 @@
     Gate, LateNode, LONG,
 };
 use bytes::Bytes;
-use pearfork_resp::{CommandLimits, Commands};
+use pearfork_resp::{CommandDecoder, CommandLimits};
 use pearfork_serving::Point;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
@@ -272,8 +272,8 @@
     }
 }
 
-fn commands() -> Commands {
-    Commands::new(CommandLimits { words: 8, word: 1 << 17, whole: 1 << 18 })
+fn commands() -> CommandDecoder {
+    CommandDecoder::new(CommandLimits { args: 8, arg_bytes: 1 << 17, total_bytes: 1 << 18 })
 }
 
 /// Reads one whole command; nothing may stand behind it.
@@ -283,7 +283,7 @@
     let mut piece = [0; 4096];
     loop {
         if let Some(command) = commands.next_command().unwrap() {
-            assert!(!commands.is_within(), "another stands behind it");
+            assert!(!commands.has_partial(), "another stands behind it");
             return command;
         }
         let n = stream.read(&mut piece).unwrap();
--- a/crates/serving/tests/crossings/discovery.rs
+++ b/crates/serving/tests/crossings/discovery.rs
@@ -474,7 +474,7 @@
     served.is_served();
     let new = Discovery::new(Behaviour::Sound, 2, News::Left.lines(node));
     let since = Instant::now();
-    host.follow(new.address);
+    host.set_discovery_address(new.address);
     let taken = served.until_refused(since);
     assert!(taken < TOLD, "taken after {taken:?}");
 }
--- a/crates/serving/tests/crossings/held.rs
+++ b/crates/serving/tests/crossings/held.rs
@@ -1,7 +1,7 @@
 //! What forces the order of two events: gates, a host held at a point, nodes and agents that answer by hand.
 
 use pearfork_platform::config::Config;
-use pearfork_serving::{Point, Serving};
+use pearfork_serving::{Point, Service};
 use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size, set_socket_send_buffer_size};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -50,7 +50,7 @@
 }
 
 /// A host that waits at a gate whenever it comes to a point.
-pub fn host_held(config: &serde_json::Value, at: Point) -> (Serving, SocketAddr, Gate) {
+pub fn host_held(config: &serde_json::Value, at: Point) -> (Service, SocketAddr, Gate) {
     let gate = Gate::default();
     let held = gate.clone();
     let hold = Arc::new(move |point| {
@@ -58,17 +58,17 @@
             held.pass();
         }
     });
-    let host = Serving::start_held(Config::parse(config.to_string().as_bytes()).unwrap(), hold).unwrap();
+    let host = Service::start_held(Config::parse(config.to_string().as_bytes()).unwrap(), hold).unwrap();
     let address = host.address().unwrap();
     (host, address, gate)
 }
 
 /// A host whose connections to nodes hold a few thousand bytes that their nodes have not taken; the rest waits in its
 /// write buffers.
-pub fn host_with_small_buffers(config: &serde_json::Value) -> (Serving, SocketAddr) {
+pub fn host_with_small_buffers(config: &serde_json::Value) -> (Service, SocketAddr) {
     let prepare = Arc::new(|stream: &TcpStream| set_socket_send_buffer_size(stream, 4 * 1024).unwrap());
     let config = Config::parse(config.to_string().as_bytes()).unwrap();
-    let host = Serving::start_prepared(config, prepare).unwrap();
+    let host = Service::start_prepared(config, prepare).unwrap();
     let address = host.address().unwrap();
     (host, address)
 }
--- a/crates/serving/tests/crossings/lists.rs
+++ b/crates/serving/tests/crossings/lists.rs
@@ -76,7 +76,7 @@
     old.tell(&list(90, true, &[line(node, "SERVING", 0)]));
     let (path, under_way) = old.call();
     assert!(path.contains("since=90"), "{path}");
-    host.follow(new.address);
+    host.set_discovery_address(new.address);
     assert_eq!(new.tell(&list(3, true, &[line(node, "SERVING", 0)])), "/discovery/hosts");
     let (path, _held) = new.call();
     assert!(path.contains("since=3&"), "{path}");
--- a/crates/serving/tests/crossings/nodes.rs
+++ b/crates/serving/tests/crossings/nodes.rs
@@ -3,8 +3,8 @@
 use crate::common::{config, host_of, is_error, until, value, Client};
 use crate::held::{is_silent, line, list, read_command, reset, Agent, LateNode};
 use bytes::Bytes;
-use pearfork_resp::{CommandLimits, Commands, Reply};
-use pearfork_serving::Serving;
+use pearfork_resp::{CommandDecoder, CommandLimits, Reply};
+use pearfork_serving::Service;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
@@ -24,14 +24,15 @@
 }
 
 fn parsed(bytes: &[u8]) -> Vec<Bytes> {
-    let mut commands = Commands::new(CommandLimits { words: 8, word: 1 << 17, whole: 1 << 18 });
+    let mut commands =
+        CommandDecoder::new(CommandLimits { args: 8, arg_bytes: 1 << 17, total_bytes: 1 << 18 });
     commands.buffer().extend_from_slice(bytes);
     commands.next_command().unwrap().expect("a whole command")
 }
 
 /// A write is with its node, which has it run as far as anybody knows; its connection breaks, and the next comes up late,
 /// after 0.4 s. The host, its client, and the connection that came up.
-fn broken_under_a_write(window_ms: f64) -> (Serving, Client, TcpStream) {
+fn broken_under_a_write(window_ms: f64) -> (Service, Client, TcpStream) {
     let mut node = LateNode::new();
     let agent = Agent::new();
     let mut config = patient(agent.address, &[node.address()]);
--- a/crates/serving/tests/second_answers.rs
+++ b/crates/serving/tests/second_answers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{discovery, host, value, Client};
-use pearfork_resp::{CommandLimits, Commands};
+use pearfork_resp::{CommandDecoder, CommandLimits};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -30,7 +30,8 @@
 
 fn answer_twice(mut stream: TcpStream, late: Duration) {
     let _ = stream.set_nodelay(true);
-    let mut commands = Commands::new(CommandLimits { words: 8, word: 1 << 17, whole: 1 << 18 });
+    let mut commands =
+        CommandDecoder::new(CommandLimits { args: 8, arg_bytes: 1 << 17, total_bytes: 1 << 18 });
     let mut piece = [0; 4096];
     while let Ok(n @ 1..) = stream.read(&mut piece) {
         commands.buffer().extend_from_slice(&piece[..n]);
--- a/crates/serving/tests/service.rs
+++ b/crates/serving/tests/service.rs
@@ -260,7 +260,7 @@
     let old = discovery(1, &[old_node]);
     let (host, address) = host(&old, &[old_node]);
     let new = discovery(2, &[new_node]);
-    host.follow(new.address());
+    host.set_discovery_address(new.address());
     drop(old);
     let mut client = Client::connect(address);
     let mut id = 0;
--- a/fuzz/fuzz_targets/resp.rs
+++ b/fuzz/fuzz_targets/resp.rs
@@ -3,19 +3,19 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pearfork_platform::{answer, config::Vocabulary, request, node_table};
-use pearfork_resp::{Commands, Replies};
+use pearfork_platform::{config::RequestSchema, node_list, node_reply, request};
+use pearfork_resp::{CommandDecoder, ReplyDecoder};
 
 fuzz_target!(|bytes: &[u8]| {
     let Some((cut, bytes)) = bytes.split_first() else { return };
     let cut = usize::from(*cut).min(bytes.len());
-    let vocabulary = Vocabulary::default();
+    let schema = RequestSchema::default();
     let commands = |pieces: &[&[u8]]| {
-        let (mut reader, mut all) = (Commands::new(request::COMMAND), Vec::new());
+        let (mut reader, mut all) = (CommandDecoder::new(request::COMMAND_LIMITS), Vec::new());
         for piece in pieces {
             reader.buffer().extend_from_slice(piece);
             while let Ok(Some(command)) = reader.next_command() {
-                let _ = request::parse(&command, &vocabulary);
+                let _ = request::parse(&command, &schema);
                 all.push(command);
             }
         }
@@ -23,15 +23,15 @@
     };
     assert_eq!(commands(&[bytes]), commands(&[&bytes[..cut], &bytes[cut..]]));
     let replies = |pieces: &[&[u8]]| {
-        let (mut reader, mut all) = (Replies::new(answer::REPLY), Vec::new());
+        let (mut reader, mut all) = (ReplyDecoder::new(node_reply::LIMITS), Vec::new());
         for piece in pieces {
             reader.buffer().extend_from_slice(piece);
             while let Ok(Some(reply)) = reader.next_reply() {
-                all.push(answer::read(reply));
+                all.push(node_reply::parse(reply));
             }
         }
         (all, reader.next_reply().err())
     };
     assert_eq!(replies(&[bytes]), replies(&[&bytes[..cut], &bytes[cut..]]));
-    let _ = nodes::parse(bytes);
+    let _ = node_list::parse(bytes);
 });
