--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -1,7 +1,7 @@
-//! The holder's thread: requests the host's lease, and sees to it that whoever sends goes by the grants.
+//! The holder's thread: renews the host's lease and passes its grants to the consumer of the budgets.
 
 use crate::plan::FleetPlan;
-use crate::state::{HeldLine, HolderView, Shared};
+use crate::state::{HeldLine, HolderView, SharedView};
 use crate::time::LeaseClock;
 use crate::transport::{HolderEvent, Requester, TransportCommand, TransportHandle, VoterEvent};
 use crate::voter_selection::VoterSelection;
@@ -19,43 +19,45 @@
 pub struct Demand {
     /// The budget.
     pub budget: Budget,
-    /// What they asked for of late, as a fraction of the whole.
+    /// Their recent demand, as a fraction of the whole.
     pub asked: Fraction,
-    /// The least fraction that a request can come of.
+    /// Smallest useful fraction: the one that admits a request.
     pub least: Fraction,
-    /// How long that has to be held for it.
+    /// How long the host has to hold that fraction before it can send a request.
     pub turn: Duration,
 }
 
-/// What a host may use of a budget from now on.
+/// The share of a budget that a host may use from now on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Portion {
     /// The budget.
     pub budget: Budget,
-    /// What it has for good.
+    /// The fraction that every host permanently owns.
     pub floor: Fraction,
-    /// What it holds by lease, on top of that.
+    /// The fraction that it leases on top of that.
     pub lent: Fraction,
-    /// When the lease expires. Danger: given as a duration it would be too late wherever this process was stopped
-    /// meanwhile.
+    /// When the lease expires. A point in time, not a duration: if the process is stopped between sending and
+    /// use, a duration would end too late.
     pub until: Instant,
 }
 
-/// The host, as the holder sees it.
+/// The consumer of this host's budgets: reports the demand of the clients and keeps what is sent within the
+/// shares.
 pub trait User: Send {
-    /// The present demand for each budget that this host has.
+    /// The current demand for each budget that this host uses.
     fn demand(&mut self) -> Vec<Demand>;
-    /// Portions to go by from now on. True once whoever sends does: nothing more is sent by earlier ones. It may wait for
-    /// that for a moment, but not for ever.
+    /// Applies the shares to use from now on. Returns true once they are in force and nothing more is sent
+    /// under earlier ones. It may block briefly, but must return in any case.
     fn apply(&mut self, portions: &[Portion]) -> bool;
 }
 
-/// A leaving host says so several times: a message may get lost.
+/// Number of leave requests that are sent, since a message may be lost.
 const LEAVE_REPEATS: u32 = 3;
+/// Interval between them.
 const LEAVE_INTERVAL: Duration = Duration::from_millis(30);
-/// A fraction that came down is declared so soon: it is of use to others once the ledger hears of it.
+/// Delay after which a reduced fraction is declared: other hosts can get it only once the ledger knows.
 const DECLARE_WITHIN: Duration = Duration::from_millis(5);
-/// The longest turn that is requested, milliseconds.
+/// Upper bound of the requested turn, in milliseconds.
 const MAX_TURN_MS: u128 = 60_000;
 
 pub(crate) struct LeaseClient<U> {
@@ -63,13 +65,13 @@
     user: U,
     events: Receiver<HolderEvent>,
     transport: TransportHandle,
-    /// The voter of this process, where this host is one.
+    /// The voter in this process, if this host is one.
     local_voter: Option<Sender<VoterEvent>>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedView>,
     clock: LeaseClock,
     holder: Holder,
     voters: VoterSelection,
-    /// What the user goes by.
+    /// The shares that the consumer applied last.
     portions: Vec<Portion>,
     next_request_at: Instant,
     requests_sent: u64,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Requests leases until told to leave or stop.
+    /// Renews the lease until the thread is told to leave or stop.
     pub(crate) fn run(mut self) {
         self.portions = self.floors();
         self.user.apply(&self.portions);
@@ -167,15 +169,15 @@
         self.warned_superseded = true;
         tracing::error!(
             host = self.plan.me.0,
-            "another process has this host's number in the fleet: this one uses no fleet-wide budget any \
-             more; stop one of the two"
+            "another process joined the fleet with this host's number; this process no longer uses any \
+             fleet-wide budget; stop one of the two"
         );
     }
 
-    /// Handles a response and hands on what it changes; true where a fraction came down.
+    /// Handles a response and applies the resulting shares. Returns whether a leased fraction decreased.
     fn apply_response(&mut self, response: &LeaseResponse) -> bool {
         self.holder.handle_response(self.clock.now_ms(), response);
-        let portions = self.held_portions();
+        let portions = self.leased_shares();
         let unconfirmed = self.holder.unconfirmed();
         if !self.user.apply(&portions) {
             return false;
@@ -184,12 +186,12 @@
             self.holder.confirm(&budget, allocation);
         }
         let before: BTreeMap<&Budget, Fraction> = self.portions.iter().map(|p| (&p.budget, p.lent)).collect();
-        let came_down = portions.iter().any(|p| before.get(&p.budget).is_some_and(|lent| p.lent < *lent));
+        let decreased = portions.iter().any(|p| before.get(&p.budget).is_some_and(|lent| p.lent < *lent));
         self.portions = portions;
-        came_down
+        decreased
     }
 
-    /// What the host has without a lease.
+    /// The shares of a host without a lease.
     fn floors(&mut self) -> Vec<Portion> {
         let floor = self.plan.floor();
         let until = Instant::now();
@@ -197,13 +199,14 @@
         self.user.demand().into_iter().map(portion).collect()
     }
 
-    /// What the host has by its present lease.
-    fn held_portions(&self) -> Vec<Portion> {
+    /// The shares of the host under its current lease.
+    fn leased_shares(&self) -> Vec<Portion> {
         let state = self.holder.state();
-        // Two processes with one number would use its floor twice.
+        // A superseded process gives up its floor, too: two processes with one host number would use it
+        // twice.
         let floor = if state.superseded { Fraction::ZERO } else { self.plan.floor() };
-        let until = self.clock.instant(state.until_ms);
-        let is_valid = self.clock.now_ms() < state.until_ms;
+        let until = self.clock.instant(state.expires_at);
+        let is_valid = self.clock.now_ms() < state.expires_at;
         let portion = |(budget, held): (&Budget, Held)| Portion {
             budget: budget.clone(),
             floor,
@@ -226,16 +229,16 @@
     fn publish(&self, demand: &[Demand]) {
         let (state, now) = (self.holder.state(), self.clock.now_ms());
         let floor = if state.superseded { 0.0 } else { self.plan.floor().as_f64() };
-        let is_valid = now < state.until_ms;
+        let is_valid = now < state.expires_at;
         let line = |d: &Demand| HeldLine {
             budget: d.budget.to_string(),
             floor,
             lent: if is_valid { self.holder.held(&d.budget).fraction.as_f64() } else { 0.0 },
             demand: d.asked.as_f64(),
         };
-        self.shared.holder(HolderView {
+        self.shared.set_holder(HolderView {
             incarnation: state.incarnation.map(|i| i.0),
-            lease_ms: Some(state.until_ms - now).filter(|ms| ms.is_finite()),
+            lease_ms: Some(state.expires_at - now).filter(|ms| ms.is_finite()),
             superseded: state.superseded,
             asks: self.voters.current().map(|voter| voter.0),
             asked: self.requests_sent,
@@ -244,10 +247,11 @@
         });
     }
 
-    /// Gives all back. Danger: what is given back is lent to others at once, so first nobody here may use it any more.
+    /// Releases all leased fractions. The consumer has to stop using them first: the ledger may grant them to
+    /// other hosts at once.
     fn leave(&mut self) {
         self.holder.leave();
-        let portions = self.held_portions();
+        let portions = self.leased_shares();
         if !self.user.apply(&portions) {
             return;
         }
--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -1,30 +1,30 @@
-//! Access to the disk for the store, and a wrapper that injects faults.
+//! Disk access of the store, and a wrapper that injects faults.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The store's access to its disk. A call that fails may still have written a part.
+/// Disk access of the store. A call that fails may have written part of its data.
 pub trait Disk: Send {
-    /// All bytes of a file; none where there is no such file.
+    /// Reads a whole file; none if it does not exist.
     ///
     /// # Errors
-    /// What the machine says.
+    /// The error of the operating system.
     fn read(&mut self, file: &Path) -> io::Result<Option<Vec<u8>>>;
-    /// Adds bytes to the end of a file and waits until they are on disk.
+    /// Appends bytes to a file, which is created if need be, and waits until they are on disk.
     ///
     /// # Errors
-    /// What the machine says; some of the bytes may be there.
+    /// The error of the operating system; some of the bytes may have been written.
     fn append(&mut self, file: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Puts a file with these bytes in the place of another, whole or not at all, and waits until it is on disk.
+    /// Atomically replaces the contents of a file and waits until they are on disk.
     ///
     /// # Errors
-    /// What the machine says; the old file is there.
+    /// The error of the operating system; the file has either its old or its new contents.
     fn replace(&mut self, file: &Path, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// The machine's disk.
+/// The disk of the operating system.
 #[derive(Debug, Default)]
 pub struct RealDisk {
     open: Option<(PathBuf, File)>,
@@ -56,12 +56,12 @@
 
     fn replace(&mut self, file: &Path, bytes: &[u8]) -> io::Result<()> {
         self.open = None;
-        let beside = file.with_extension("new");
-        let mut f = File::create(&beside)?;
+        let temporary = file.with_extension("new");
+        let mut f = File::create(&temporary)?;
         f.write_all(bytes)?;
         f.sync_all()?;
-        std::fs::rename(&beside, file)?;
-        // Danger: without this the name may still lead to the old file after a loss of power.
+        std::fs::rename(&temporary, file)?;
+        // Without syncing the directory, the name may still refer to the old file after a power failure.
         match file.parent() {
             Some(folder) => File::open(folder)?.sync_all(),
             None => Ok(()),
@@ -69,34 +69,35 @@
     }
 }
 
-/// A disk with injected faults, for trials: the first word of a file names the present fault.
+/// A disk with injected faults, for fault-injection tests: the first word of a file names the current fault.
 ///
-/// `full`: nothing can be written. `fsync`: all is written, and then said not to be on disk. `torn`: half of what is
-/// appended is written. `read-only`: no file can be opened for writing. `stall MS`: each write takes so much longer.
-/// Without the file, or with any other word, all is well.
+/// `full`: writes fail with "storage full". `fsync`: data is written, but the call fails as if the sync had
+/// failed. `torn`: half of the appended data is written, then the call fails. `read-only`: writes fail with
+/// "read-only file system". `stall MS`: each write is delayed by that many milliseconds, at most 60,000.
+/// Without the file, or with any other word, no fault is injected.
 pub struct FaultyDisk<D> {
     disk: D,
     fault_file: PathBuf,
 }
 
 impl<D: Disk> FaultyDisk<D> {
-    /// Another disk, with the faults that a file names.
+    /// Wraps a disk; `fault_file` names the fault to inject.
     pub fn new(disk: D, fault_file: PathBuf) -> FaultyDisk<D> {
         FaultyDisk { disk, fault_file }
     }
 
     fn fault(&self) -> (String, u64) {
         let text = std::fs::read_to_string(&self.fault_file).unwrap_or_default();
-        let mut words = text.split_whitespace();
-        let word = words.next().unwrap_or_default().to_owned();
-        (word, words.next().and_then(|w| w.parse().ok()).unwrap_or(0))
+        let mut fields = text.split_whitespace();
+        let fault = fields.next().unwrap_or_default().to_owned();
+        (fault, fields.next().and_then(|field| field.parse().ok()).unwrap_or(0))
     }
 
     fn inject_before_write(&self) -> io::Result<()> {
         match self.fault() {
-            (word, _) if word == "full" => Err(io::Error::from(io::ErrorKind::StorageFull)),
-            (word, _) if word == "read-only" => Err(io::Error::from(io::ErrorKind::ReadOnlyFilesystem)),
-            (word, ms) if word == "stall" => {
+            (fault, _) if fault == "full" => Err(io::Error::from(io::ErrorKind::StorageFull)),
+            (fault, _) if fault == "read-only" => Err(io::Error::from(io::ErrorKind::ReadOnlyFilesystem)),
+            (fault, ms) if fault == "stall" => {
                 std::thread::sleep(Duration::from_millis(ms.min(60_000)));
                 Ok(())
             }
@@ -106,7 +107,7 @@
 
     fn inject_after_write(&self) -> io::Result<()> {
         match self.fault().0.as_str() {
-            "fsync" => Err(io::Error::other("not known to be on disk")),
+            "fsync" => Err(io::Error::other("injected fault: fsync failed")),
             _ => Ok(()),
         }
     }
@@ -121,7 +122,7 @@
         self.inject_before_write()?;
         if self.fault().0 == "torn" {
             self.disk.append(file, &bytes[..bytes.len() / 2])?;
-            return Err(io::Error::other("torn"));
+            return Err(io::Error::other("injected fault: torn write"));
         }
         self.disk.append(file, bytes)?;
         self.inject_after_write()
@@ -130,7 +131,7 @@
     fn replace(&mut self, file: &Path, bytes: &[u8]) -> io::Result<()> {
         self.inject_before_write()?;
         if self.fault().0 == "torn" {
-            return Err(io::Error::other("torn"));
+            return Err(io::Error::other("injected fault: torn write"));
         }
         self.disk.replace(file, bytes)?;
         self.inject_after_write()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,9 @@
 //! A host's membership in its fleet: threads, sockets and files around [`pearfork_ledger`].
 //!
-//! Three threads at most, none of which a client's request ever waits for: the transport has all sockets, the holder
-//! requests this host's lease and hands the grants to whoever sends, and on a voter the voter's thread keeps its state on
-//! disk. There is no encryption and no authentication: the fleet talks over loopback or a network that is trusted.
+//! There are up to three threads, and client requests wait for none of them. The transport thread owns all
+//! sockets, the holder thread renews this host's lease and passes its grants on, and on a voter the voter
+//! thread keeps the voter's state on disk. There is no encryption and no authentication: a fleet must
+//! communicate over loopback or a trusted network.
 
 pub mod client;
 pub mod disk;
@@ -21,8 +22,8 @@
 pub use transport::TrafficCounts;
 
 use crate::client::LeaseClient;
-use crate::state::Shared;
-use crate::store::{Folder, StoreError};
+use crate::state::SharedView;
+use crate::store::{StoreError, StoreFolder};
 use crate::time::LeaseClock;
 use crate::transport::{Channels, HolderEvent, Transport, TransportCommand, TransportHandle, VoterEvent};
 use crate::voter_thread::VoterThread;
@@ -34,40 +35,40 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Why a host can't join its fleet.
+/// Why a host cannot join its fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// Its address for the fleet can't be listened at.
-    #[error("cannot listen for the fleet at {address}: {source}")]
+    /// The listening socket of a voter cannot be opened.
+    #[error("cannot listen for fleet connections on {address}: {source}")]
     Listen {
-        /// Which.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// No thread or descriptor could be had.
-    #[error("cannot start the fleet's threads: {0}")]
+    /// A thread or a descriptor cannot be created.
+    #[error("cannot start the fleet threads: {0}")]
     Thread(#[from] io::Error),
-    /// Its state can't be read or written.
+    /// The voter's state cannot be read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The settings leave out what a voter needs.
-    #[error("a voter needs {0} in [fleet]")]
-    Missing(&'static str),
+    /// A setting that a voter needs is missing.
+    #[error("this host is a voter, but [fleet] has no `{0}`")]
+    MissingSetting(&'static str),
 }
 
-/// Events that may wait for a voter; more are dropped, and sent again.
+/// Capacity of the voter's event queue. Further events are dropped; their senders repeat them.
 const VOTER_QUEUE: usize = 8_192;
-/// Events that may wait for the holder.
+/// Capacity of the holder's event queue.
 const HOLDER_QUEUE: usize = 256;
-/// Commands that may wait for the transport.
+/// Capacity of the transport's command queue.
 const COMMAND_QUEUE: usize = 16_384;
 /// How long [`Fleet::stop`] waits for the threads.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running member of the fleet. Dropping it ends it at once, without telling the others.
+/// A running member of the fleet. Dropping it stops it at once, without notifying the other hosts.
 pub struct Fleet {
-    shared: Arc<Shared>,
+    shared: Arc<SharedView>,
     transport: TransportHandle,
     voter: Option<Sender<VoterEvent>>,
     holder: Sender<HolderEvent>,
@@ -75,27 +76,27 @@
     threads: Mutex<Vec<JoinHandle<()>>>,
 }
 
-/// A number for this process that no other is likely to draw.
+/// A random number that identifies this process.
 fn random_nonce() -> u64 {
     use std::hash::{BuildHasher, Hasher};
-    // Keyed from the system's random numbers for each process.
+    // `RandomState` gets its keys from the random number generator of the operating system.
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
     hasher.write_u128(std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_nanos());
     hasher.finish()
 }
 
-/// The voter of a process, once its thread runs.
+/// A voter whose thread is running.
 struct StartedVoter {
     listener: TcpListener,
     events: Sender<VoterEvent>,
     thread: JoinHandle<()>,
 }
 
-/// What all threads of a process share.
+/// State that the threads of a member share.
 struct Context {
     plan: Arc<FleetPlan>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedView>,
     clock: LeaseClock,
     transport: TransportHandle,
     holder: Sender<HolderEvent>,
@@ -103,17 +104,17 @@
 }
 
 impl Context {
-    /// Takes the voter's folder and address, and starts its thread.
+    /// Locks the voter's folder, binds its address and starts its thread.
     fn start_voter(&self) -> Result<StartedVoter, FleetError> {
-        let address = self.plan.listen.ok_or(FleetError::Missing("listen"))?;
-        let folder = self.plan.folder.as_ref().ok_or(FleetError::Missing("folder"))?;
-        let folder = Folder::take(folder)?;
+        let address = self.plan.listen.ok_or(FleetError::MissingSetting("listen"))?;
+        let folder = self.plan.folder.as_ref().ok_or(FleetError::MissingSetting("folder"))?;
+        let folder = StoreFolder::lock(folder)?;
         let listener = TcpListener::bind(address).map_err(|source| FleetError::Listen { address, source })?;
         let opened = match VoterThread::open(&self.plan, &folder) {
             Ok(opened) => Some(opened),
             Err(why @ StoreError::Disk { .. }) => {
-                tracing::error!(%why, "this voter can't write: it serves, but neither votes nor lends");
-                self.shared.voter(|view| view.trouble = Some(why.to_string()));
+                tracing::error!(%why, "voter state cannot be written; this host serves clients but does not vote");
+                self.shared.update_voter(|view| view.trouble = Some(why.to_string()));
                 None
             }
             Err(why) => return Err(why.into()),
@@ -140,7 +141,7 @@
         channels: Channels,
     ) -> Result<JoinHandle<()>, FleetError> {
         let shared = self.shared.clone();
-        let observer = Box::new(move |statuses: &_| shared.links(statuses));
+        let observer = Box::new(move |statuses: &_| shared.set_links(statuses));
         let traffic = self.shared.traffic.clone();
         let transport = Transport::new(self.plan.clone(), listener, poller, channels, observer, traffic)?;
         Ok(spawn_small("fleet-hub", move || transport.run())?)
@@ -148,18 +149,19 @@
 }
 
 impl Fleet {
-    /// Joins the fleet. The user hears of its floors before this returns or soon after, and of leases as they come.
+    /// Joins the fleet. The consumer gets its floors before this returns or shortly after, and its leased
+    /// shares with each renewal.
     ///
     /// # Errors
-    /// What the machine refuses; and on a voter, state that can't be read. A disk that is full or read-only is no reason
-    /// not to start: the voter then neither votes nor lends until it is well.
+    /// A thread, descriptor or socket cannot be created, or a voter's state cannot be used. A disk that is
+    /// full or read-only is no error: the voter then neither votes nor grants leases until it can write.
     pub fn start(plan: FleetPlan, user: impl User + 'static) -> Result<Fleet, FleetError> {
         let plan = Arc::new(plan);
         let poller = Arc::new(Poller::new()?);
         let (commands, command_receiver) = bounded(COMMAND_QUEUE);
         let (holder, holder_events) = bounded(HOLDER_QUEUE);
         let context = Context {
-            shared: Arc::new(Shared::new(&plan)),
+            shared: Arc::new(SharedView::new(&plan)),
             clock: LeaseClock::start(plan.fault_injection.clock_rate),
             transport: TransportHandle::new(commands, poller.clone()),
             holder: holder.clone(),
@@ -183,7 +185,7 @@
             host = plan.me.0,
             votes = plan.votes(),
             settings = plan.fingerprint(),
-            "in the fleet"
+            "joined the fleet"
         );
         Ok(Fleet {
             shared: context.shared,
@@ -195,12 +197,13 @@
         })
     }
 
-    /// What this host knows of its fleet.
+    /// The status of the fleet, as this host knows it.
     pub fn view(&self) -> FleetView {
         self.shared.view()
     }
 
-    /// Gives all back and ends. Whoever sends has to be done: nothing may be sent under a grant that was given back.
+    /// Releases the lease and stops. Sending must have ended before: nothing may be sent under a released
+    /// grant.
     pub fn leave(&self) {
         let _ = self.holder.try_send(HolderEvent::Leave);
         if let Some(thread) = pearfork_net::lock(&self.holder_thread).take() {
@@ -209,7 +212,7 @@
         self.stop();
     }
 
-    /// Ends at once. What it held is free when its lease has expired.
+    /// Stops at once. The fractions that it holds become free when its lease expires.
     pub fn stop(&self) {
         let _ = self.holder.try_send(HolderEvent::Stop);
         if let Some(voter) = &self.voter {
@@ -219,10 +222,11 @@
         if let Some(thread) = pearfork_net::lock(&self.holder_thread).take() {
             let _ = thread.join();
         }
-        // Danger: a voter whose disk stalls would hold up the end of the whole process; it ends by itself.
-        let until = Instant::now() + STOP_TIMEOUT;
+        // The wait is bounded: a voter whose disk stalls would keep the process from exiting. It stops by
+        // itself later.
+        let deadline = Instant::now() + STOP_TIMEOUT;
         for thread in pearfork_net::lock(&self.threads).drain(..) {
-            while !thread.is_finished() && Instant::now() < until {
+            while !thread.is_finished() && Instant::now() < deadline {
                 std::thread::sleep(Duration::from_millis(2));
             }
         }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,4 +1,4 @@
-//! A host's settings for its fleet, checked as a whole.
+//! The validated fleet settings of a host.
 
 use pearfork_ledger::{Fraction, HostNumber, Times};
 use std::net::SocketAddr;
@@ -7,41 +7,41 @@
 /// The address of a voter, as this host reaches it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterAddress {
-    /// Its number.
+    /// The voter's host number.
     pub host: HostNumber,
-    /// Where it listens for its fleet.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-/// Faults to inject, for trials alone.
+/// Faults to inject, for tests only.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultInjection {
-    /// How fast this process's clock runs for its leases; 1 where nothing is said.
+    /// Speed of this process's lease clock relative to real time; 1 by default.
     pub clock_rate: Option<f64>,
-    /// A file whose first word names the disk's present fault.
+    /// A file whose first word names the current disk fault; see [`FaultyDisk`](crate::disk::FaultyDisk).
     pub disk: Option<PathBuf>,
 }
 
-/// A host's settings for its fleet.
+/// The fleet settings of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetPlan {
     /// The fleet's name.
     pub name: String,
     /// This host.
     pub me: HostNumber,
-    /// Hosts of the fleet at the most: each has a floor.
+    /// Maximum number of hosts in the fleet; each of them has a floor.
     pub hosts: u32,
-    /// Where a voter listens for its fleet; others listen nowhere.
+    /// The address that a voter listens on for fleet connections; none if this host is not a voter.
     pub listen: Option<SocketAddr>,
-    /// Where a voter keeps its state.
+    /// The folder in which a voter keeps its state; none if this host is not a voter.
     pub folder: Option<PathBuf>,
-    /// All voters, this host perhaps among them.
+    /// All voters, including this host if it is one.
     pub voters: Vec<VoterAddress>,
-    /// What all floors together make of each whole.
+    /// The sum of all floors, as a fraction of each budget.
     pub floors: Fraction,
-    /// Times.
+    /// Durations and timeouts of the ledger.
     pub times: Times,
-    /// For trials.
+    /// Faults to inject, for tests only.
     pub fault_injection: FaultInjection,
 }
 
@@ -51,22 +51,24 @@
         self.voters.iter().any(|v| v.host == self.me)
     }
 
-    /// Each host's floor. All floors add up to no more than `floors`.
+    /// The floor of each host, rounded down, so that the floors of all hosts do not exceed their configured
+    /// sum.
     pub fn floor(&self) -> Fraction {
         Fraction(self.floors.0 / u64::from(self.hosts.max(1)))
     }
 
-    /// What floors leave to be lent.
+    /// The fraction of each budget that can be leased: what the floors leave over.
     pub fn lendable(&self) -> Fraction {
         Fraction::WHOLE.saturating_sub(self.floors)
     }
 
-    /// Checksum of all that must be alike at every host. Addresses may differ: each host has its own way to a voter.
+    /// Checksum of the settings that must be the same on all hosts. Addresses are left out: hosts may reach a
+    /// voter under different ones.
     pub fn fingerprint(&self) -> String {
         let voters: Vec<u16> = self.voters.iter().map(|v| v.host.0).collect();
         let t = &self.times;
-        let words =
+        let text =
             format!("{} {} {voters:?} {} {} {}", self.name, self.hosts, self.floors.0, t.lease_ms, t.drift);
-        format!("{:08x}", crc32c::crc32c(words.as_bytes()))
+        format!("{:08x}", crc32c::crc32c(text.as_bytes()))
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! What a host knows of its fleet, for status pages and metrics.
+//! The status of the fleet as a host knows it, for status pages and metrics.
 
 use crate::plan::FleetPlan;
 use crate::transport::{LinkStatus, Requester, Traffic, TrafficCounts};
@@ -7,72 +7,76 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A process in the table, as a leader sees it.
+/// Status of a member in the lease table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MemberLine {
-    /// Its host.
+    /// Host of the process.
     pub host: u16,
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Milliseconds since it was last heard; none where that was before this leader.
-    pub heard_ms: Option<f64>,
-    /// Milliseconds until its lease is over for the leader.
-    pub over_in_ms: Option<f64>,
+    /// Milliseconds since its last request; none if this voter has got none as the leader.
+    #[serde(rename = "heard_ms")]
+    pub since_request_ms: Option<f64>,
+    /// Milliseconds until the leader lets its lease expire; none if this voter is not the leader.
+    #[serde(rename = "over_in_ms")]
+    pub expires_in_ms: Option<f64>,
 }
 
-/// A budget in the table.
+/// Status of a budget in the lease table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BudgetLine {
-    /// Its name.
+    /// Name of the budget.
     pub budget: String,
-    /// What is lent of it in all, as a fraction of the whole.
+    /// Sum of all allocations, as a fraction of the whole.
     pub lent: f64,
-    /// To which host how much.
-    pub to: BTreeMap<u16, f64>,
+    /// Allocated fraction by host.
+    #[serde(rename = "to")]
+    pub by_host: BTreeMap<u16, f64>,
 }
 
-/// A voter's view.
+/// Status of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct VoterView {
-    /// Why it does not vote, where it does not.
+    /// The store error that keeps it from voting; none if it votes.
     pub trouble: Option<String>,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The leader.
+    /// The leader, if this voter knows it.
     pub leader: Option<u16>,
-    /// Whether it lends.
+    /// Whether it is the leader and grants leases.
     pub lends: bool,
-    /// Index of the last committed entry.
+    /// Index of the last entry that it knows to be committed.
     pub commit: u64,
-    /// Processes in the table.
+    /// Members in the lease table.
     pub members: Vec<MemberLine>,
-    /// Budgets in the table.
+    /// Budgets in the lease table.
     pub budgets: Vec<BudgetLine>,
 }
 
 impl VoterView {
-    /// The view of a voter that runs.
-    pub(crate) fn of(voter: &Voter<Requester>, now: f64) -> VoterView {
+    /// The status of a running voter.
+    pub(crate) fn new(voter: &Voter<Requester>, now: f64) -> VoterView {
         let state = voter.state();
         let leases = voter.lease_manager().map(|l| l.leases());
         let table = voter.table();
-        let member = |(who, m): (&pearfork_ledger::Incarnation, &pearfork_ledger::Member)| {
-            let lease = leases.and_then(|a| a.get(who));
+        let member = |(id, m): (&pearfork_ledger::Incarnation, &pearfork_ledger::Member)| {
+            let lease = leases.and_then(|l| l.get(id));
             MemberLine {
                 host: m.host.0,
-                incarnation: who.0,
-                heard_ms: lease.map(|a| now - a.last_heard_at).filter(|ms| ms.is_finite()),
-                over_in_ms: lease.map(|a| a.expires_at - now),
+                incarnation: id.0,
+                since_request_ms: lease.map(|l| now - l.last_request_at).filter(|ms| ms.is_finite()),
+                expires_in_ms: lease.map(|l| l.expires_at - now),
             }
         };
-        // Danger: several processes of one host, the old one's lease still running, share its line.
+        // A host may have several processes while the lease of an earlier one has not expired; their
+        // allocations are added.
         let budget = |(b, holders): (&pearfork_ledger::Budget, &BTreeMap<_, pearfork_ledger::Allocation>)| {
-            let mut to = BTreeMap::new();
-            for (who, lent) in holders {
-                let host = table.members().get(who).map_or(u16::MAX, |m| m.host.0);
-                *to.entry(host).or_insert(0.0) += lent.fraction.as_f64();
+            let mut by_host = BTreeMap::new();
+            for (incarnation, allocation) in holders {
+                let host = table.members().get(incarnation).map_or(u16::MAX, |m| m.host.0);
+                *by_host.entry(host).or_insert(0.0) += allocation.fraction.as_f64();
             }
-            BudgetLine { budget: b.to_string(), lent: table.total_allocated(b).as_f64(), to }
+            BudgetLine { budget: b.to_string(), lent: table.total_allocated(b).as_f64(), by_host }
         };
         VoterView {
             trouble: None,
@@ -86,35 +90,35 @@
     }
 }
 
-/// What this host holds of a budget.
+/// This host's share of a budget.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct HeldLine {
-    /// The budget.
+    /// Name of the budget.
     pub budget: String,
-    /// Its floor, as a fraction of the whole.
+    /// The host's floor, as a fraction of the whole.
     pub floor: f64,
-    /// What it borrows beyond that; 0 once the lease is over.
+    /// The fraction that it leases on top of that; 0 once the lease has expired.
     pub lent: f64,
-    /// What its clients ask for, as a fraction of the whole.
+    /// The demand of its clients, as a fraction of the whole.
     pub demand: f64,
 }
 
-/// A holder's view.
+/// Status of the lease holder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct HolderView {
-    /// What the ledger calls this process; none where it never joined.
+    /// Incarnation of this process; none if it has not joined.
     pub incarnation: Option<u64>,
-    /// Milliseconds that its lease still holds; below 0 once it is over, none where it never had one.
+    /// Milliseconds until the lease expires; negative once it has expired, none if there is no lease.
     pub lease_ms: Option<f64>,
-    /// Another process has its name.
+    /// Another process joined later with the same host number.
     pub superseded: bool,
-    /// Which voter it asks.
+    /// The voter that it sends its requests to.
     pub asks: Option<u16>,
-    /// Asks sent, and answers with a lease.
+    /// Number of lease requests sent.
     pub asked: u64,
-    /// Answers with a lease.
+    /// Number of responses with a lease.
     pub answered: u64,
-    /// Its budgets.
+    /// Its shares of budgets.
     pub budgets: Vec<HeldLine>,
 }
 
@@ -123,39 +127,39 @@
 pub struct LinkLine {
     /// The voter.
     pub voter: u16,
-    /// Whether it is up.
+    /// Whether the link is up and the handshake is done.
     pub up: bool,
-    /// Why one of the two sides refused the other.
+    /// Why this host or the voter refused the other side; none if neither did.
     pub refused: Option<String>,
 }
 
-/// All that a host knows of its fleet.
+/// The status of the fleet, as a host knows it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FleetView {
     /// The fleet's name.
     pub fleet: String,
-    /// The checksum of what all hosts must have alike.
+    /// Checksum of the settings that must be the same on all hosts.
     pub settings: String,
     /// This host.
     pub host: u16,
-    /// As a holder.
+    /// The lease holder of this host.
     pub holder: HolderView,
-    /// As a voter.
+    /// The voter of this host; none if it is not a voter.
     pub voter: Option<VoterView>,
-    /// Links to voters.
+    /// Links to the other voters.
     pub links: Vec<LinkLine>,
-    /// What went over its sockets.
+    /// Traffic over its fleet sockets.
     pub traffic: TrafficCounts,
 }
 
-/// The view, as the threads keep it.
-pub(crate) struct Shared {
+/// The status that the threads update.
+pub(crate) struct SharedView {
     view: Mutex<FleetView>,
     pub(crate) traffic: Arc<Traffic>,
 }
 
-impl Shared {
-    pub(crate) fn new(plan: &FleetPlan) -> Shared {
+impl SharedView {
+    pub(crate) fn new(plan: &FleetPlan) -> SharedView {
         let view = FleetView {
             fleet: plan.name.clone(),
             settings: plan.fingerprint(),
@@ -165,7 +169,7 @@
             links: Vec::new(),
             traffic: TrafficCounts::default(),
         };
-        Shared { view: Mutex::new(view), traffic: Arc::default() }
+        SharedView { view: Mutex::new(view), traffic: Arc::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, FleetView> {
@@ -176,23 +180,23 @@
         FleetView { traffic: self.traffic.counts(), ..self.lock().clone() }
     }
 
-    pub(crate) fn voter(&self, change: impl FnOnce(&mut VoterView)) {
+    pub(crate) fn update_voter(&self, update: impl FnOnce(&mut VoterView)) {
         if let Some(voter) = &mut self.lock().voter {
-            change(voter);
+            update(voter);
         }
     }
 
-    pub(crate) fn holder(&self, view: HolderView) {
+    pub(crate) fn set_holder(&self, view: HolderView) {
         self.lock().holder = view;
     }
 
-    pub(crate) fn links(&self, states: &HashMap<HostNumber, LinkStatus>) {
-        let line = |(h, s): (&HostNumber, &LinkStatus)| LinkLine {
-            voter: h.0,
-            up: s.up,
-            refused: s.refused.clone(),
+    pub(crate) fn set_links(&self, statuses: &HashMap<HostNumber, LinkStatus>) {
+        let line = |(host, status): (&HostNumber, &LinkStatus)| LinkLine {
+            voter: host.0,
+            up: status.up,
+            refused: status.refused.clone(),
         };
-        let mut links: Vec<LinkLine> = states.iter().map(line).collect();
+        let mut links: Vec<LinkLine> = statuses.iter().map(line).collect();
         links.sort_by_key(|l| l.voter);
         self.lock().links = links;
     }
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -1,11 +1,12 @@
 //! A voter's persistent state on disk.
 //!
-//! One file of frames: the whole state at some time, then records as they came. An incomplete frame at the end was
-//! being written when the machine stopped: nothing was promised by it, and it is cut off. A corrupt frame in the middle
-//! means that promises are lost, and the store is refused.
+//! The state is one file of frames: a header, the whole state at some point, then the records since. An
+//! incomplete frame at the end was being written when the machine stopped; no message was sent on its basis,
+//! and it is discarded. A corrupt frame before the end means that votes or log entries on which messages were
+//! sent are lost: the file is rejected.
 
 use crate::disk::Disk;
-use crate::frame::{self, FrameFault};
+use crate::frame::{self, FrameError};
 use pearfork_ledger::raft::{PersistentState, Record};
 use pearfork_ledger::{Fraction, LeaseTable};
 use serde::{Deserialize, Serialize};
@@ -13,49 +14,49 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Longest frame in a file.
+/// Maximum length of a frame body in the file.
 const MAX_FRAME_BYTES: usize = 256 << 20;
 /// Version of the file's format.
 const FORMAT: u32 = 1;
 
-/// Why a store can't be used.
+/// Why a store cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The machine does not allow it.
+    /// A file or folder cannot be read or written.
     #[error("{file}: {source}")]
     Disk {
-        /// Which file or folder.
+        /// The file or folder.
         file: PathBuf,
-        /// What the machine says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Another process has the folder.
-    #[error("{0}: another process uses this folder")]
+    /// Another process uses the folder.
+    #[error("{0}: folder is locked by another process")]
     Locked(PathBuf),
-    /// The file is corrupt: promises are lost.
-    #[error("{file}, byte {at}: {why}; promises of this voter may be lost, and it must not vote by this file. Mend the disk, \
-             or remove the folder and let the host join under another number")]
+    /// The file is corrupt: votes or log entries are lost.
+    #[error("{file} is corrupt at byte {offset}: {reason}; this voter's votes or log entries may be lost, so it must not \
+             vote with this file; repair the disk, or remove the folder and let the host join under another number")]
     Corrupt {
-        /// Which file.
+        /// The file.
         file: PathBuf,
-        /// Where.
-        at: usize,
-        /// What is wrong.
-        why: String,
+        /// Offset of the corrupt frame, in bytes.
+        offset: usize,
+        /// What is wrong with it.
+        reason: String,
     },
-    /// Written by another release, or for another fleet or host.
-    #[error("{file} is {what}")]
-    Foreign {
-        /// Which file.
+    /// The file was written by another release, or for another fleet or host.
+    #[error("{file} does not belong to this voter: {found}")]
+    Mismatch {
+        /// The file.
         file: PathBuf,
-        /// What it is.
-        what: String,
+        /// What the file belongs to.
+        found: String,
     },
 }
 
-/// Whose state this is; the first frame of a file.
+/// Header of the file: its first frame, which identifies the voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owner {
+pub struct StoreHeader {
     /// Version of the file's format.
     pub format: u32,
     /// The fleet's name.
@@ -72,20 +73,20 @@
     Record(Record),
 }
 
-/// A folder of this process alone.
+/// The folder of a store, locked by this process.
 #[derive(Debug)]
-pub struct Folder {
+pub struct StoreFolder {
     path: PathBuf,
-    /// Held for as long as the process uses the folder; the machine lets go of it when the process ends.
+    /// Holds the lock while the folder is in use; the operating system releases it when the process ends.
     _lock: File,
 }
 
-impl Folder {
-    /// Makes the folder where there is none, and takes it.
+impl StoreFolder {
+    /// Creates the folder if it does not exist, and locks it.
     ///
     /// # Errors
-    /// The machine does not allow it, or another process has it.
-    pub fn take(path: &Path) -> Result<Folder, StoreError> {
+    /// The folder or its lock file cannot be opened, or another process holds the lock.
+    pub fn lock(path: &Path) -> Result<StoreFolder, StoreError> {
         let disk_error = |file: &Path| {
             let file = file.to_owned();
             move |source| StoreError::Disk { file, source }
@@ -94,11 +95,12 @@
         let name = path.join("lock");
         let lock = match File::create(&name) {
             Ok(lock) => lock,
-            // A folder that can only be read is still somebody's: the lock is had on what is there.
+            // In a read-only folder the existing file is locked: another process may use the folder all the
+            // same.
             Err(e) => File::open(&name).map_err(|_| disk_error(&name)(e))?,
         };
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_owned(), _lock: lock }),
+            Ok(()) => Ok(StoreFolder { path: path.to_owned(), _lock: lock }),
             Err(TryLockError::WouldBlock) => Err(StoreError::Locked(path.to_owned())),
             Err(TryLockError::Error(e)) => Err(disk_error(&name)(e)),
         }
@@ -113,125 +115,137 @@
 pub struct Store {
     file: PathBuf,
     disk: Box<dyn Disk>,
-    owner: Owner,
+    header: StoreHeader,
 }
 
 impl Store {
-    /// Reads what is there and writes it anew: what is used from here on is known to be on disk.
+    /// Reads the stored state and writes it to a new file, so that the state in use is known to be on disk.
     ///
-    /// Danger: after a failed fsync the system may show bytes that are not on disk. They are written once more, to a
-    /// new file, before anything is promised on them.
+    /// After a failed fsync the operating system may return data that is not on disk. Rewriting the state
+    /// keeps the voter from sending messages on the basis of such data.
     ///
     /// # Errors
-    /// The disk fails, or what is there can't be used.
+    /// The disk fails, or the stored state cannot be used.
     pub fn open(
-        folder: &Folder,
+        folder: &StoreFolder,
         mut disk: Box<dyn Disk>,
-        owner: Owner,
+        header: StoreHeader,
         lendable: Fraction,
     ) -> Result<(Store, PersistentState), StoreError> {
         let file = folder.state_file();
         let disk_error = |source| StoreError::Disk { file: file.clone(), source };
-        let image = match disk.read(&file).map_err(disk_error)? {
-            Some(bytes) => read(&file, &bytes, &owner)?,
+        let state = match disk.read(&file).map_err(disk_error)? {
+            Some(bytes) => read(&file, &bytes, &header)?,
             None => None,
         };
-        let image = image.unwrap_or_else(|| PersistentState {
+        let state = state.unwrap_or_else(|| PersistentState {
             table: LeaseTable::new(lendable),
             ..PersistentState::default()
         });
-        if image.table.lendable() != lendable {
-            let what = format!("of a fleet whose floors leave {}, not {lendable}", image.table.lendable());
-            return Err(StoreError::Foreign { file, what });
+        if state.table.lendable() != lendable {
+            let found = format!("its fleet's floors leave {}, expected {lendable}", state.table.lendable());
+            return Err(StoreError::Mismatch { file, found });
         }
-        let mut store = Store { file, disk, owner };
-        store.rewrite(&image)?;
-        Ok((store, image))
+        let mut store = Store { file, disk, header };
+        store.rewrite(&state)?;
+        Ok((store, state))
     }
 
-    /// Writes records after what is there. On disk when this returns.
+    /// Appends records to the file. They are on disk when this returns.
     ///
     /// # Errors
-    /// The disk fails. Nothing more may be written through this store: what is on disk is not known any more.
+    /// The disk fails. The store must not be used any more, since it is unknown which records are on disk.
     pub fn append(&mut self, records: Vec<Record>) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
-        records.into_iter().for_each(|r| frame::put(&mut bytes, &StoredFrame::Record(r)));
+        records.into_iter().for_each(|r| frame::encode(&mut bytes, &StoredFrame::Record(r)));
         self.disk
             .append(&self.file, &bytes)
             .map_err(|source| StoreError::Disk { file: self.file.clone(), source })
     }
 
-    /// Writes all anew. On disk when this returns.
+    /// Replaces the file by the whole state. It is on disk when this returns.
     ///
     /// # Errors
-    /// The disk fails, and the old file is there.
-    pub fn rewrite(&mut self, image: &PersistentState) -> Result<(), StoreError> {
+    /// The disk fails. The file has either its old or its new contents.
+    pub fn rewrite(&mut self, state: &PersistentState) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
-        frame::put(&mut bytes, &self.owner);
-        frame::put(&mut bytes, &StoredFrame::PersistentState(image.clone()));
+        frame::encode(&mut bytes, &self.header);
+        frame::encode(&mut bytes, &StoredFrame::PersistentState(state.clone()));
         self.disk
             .replace(&self.file, &bytes)
             .map_err(|source| StoreError::Disk { file: self.file.clone(), source })
     }
 }
 
-/// The owner's record for a host of a fleet.
-pub fn owner(fleet: &str, host: u16) -> Owner {
-    Owner { format: FORMAT, fleet: fleet.to_owned(), host }
+/// The header of the file of a voter.
+pub fn header(fleet: &str, host: u16) -> StoreHeader {
+    StoreHeader { format: FORMAT, fleet: fleet.to_owned(), host }
 }
 
-/// Puts together what a file holds; none where not even its image was whole, and so nothing was ever promised.
+/// Decodes the contents of a file; none if it is empty.
 ///
 /// # Errors
-/// It is spoilt, or somebody else's.
-pub fn read(file: &Path, bytes: &[u8], owner: &Owner) -> Result<Option<PersistentState>, StoreError> {
-    let corrupt = |at: usize, why: String| StoreError::Corrupt { file: file.to_owned(), at, why };
-    let fault = |at: usize| move |e: FrameFault| corrupt(at, e.to_string());
-    let Some((found, mut at)) = frame::get::<Owner>(bytes, MAX_FRAME_BYTES).map_err(fault(0))? else {
-        // The file is put in place whole: a short one was never ours.
-        return if bytes.is_empty() { Ok(None) } else { Err(corrupt(0, "it ends in its head".to_owned())) };
+/// The file is corrupt, or it does not belong to this voter.
+pub fn read(file: &Path, bytes: &[u8], header: &StoreHeader) -> Result<Option<PersistentState>, StoreError> {
+    let corrupt =
+        |offset: usize, reason: String| StoreError::Corrupt { file: file.to_owned(), offset, reason };
+    let invalid_frame = |offset: usize| move |e: FrameError| corrupt(offset, e.to_string());
+    let Some((found, mut offset)) =
+        frame::decode::<StoreHeader>(bytes, MAX_FRAME_BYTES).map_err(invalid_frame(0))?
+    else {
+        // The file is replaced atomically: an incomplete header was not written by this program.
+        return if bytes.is_empty() {
+            Ok(None)
+        } else {
+            Err(corrupt(0, "the header is incomplete".to_owned()))
+        };
     };
-    if found != *owner {
-        let what = format!("format {} of host {} of fleet `{}`", found.format, found.host, found.fleet);
-        return Err(StoreError::Foreign { file: file.to_owned(), what });
+    if found != *header {
+        let found = format!(
+            "it has format {} and is for host {} of fleet `{}`",
+            found.format, found.host, found.fleet
+        );
+        return Err(StoreError::Mismatch { file: file.to_owned(), found });
     }
-    let mut image = match frame::get::<StoredFrame>(&bytes[at..], MAX_FRAME_BYTES).map_err(fault(at))? {
-        Some((StoredFrame::PersistentState(image), length)) => {
-            at += length;
-            image
+    let mut state = match frame::decode::<StoredFrame>(&bytes[offset..], MAX_FRAME_BYTES)
+        .map_err(invalid_frame(offset))?
+    {
+        Some((StoredFrame::PersistentState(state), length)) => {
+            offset += length;
+            state
         }
-        _ => return Err(corrupt(at, "no image comes first".to_owned())),
+        _ => return Err(corrupt(offset, "the header is not followed by a whole state".to_owned())),
     };
-    while at < bytes.len() {
-        match frame::get::<StoredFrame>(&bytes[at..], MAX_FRAME_BYTES) {
+    while offset < bytes.len() {
+        match frame::decode::<StoredFrame>(&bytes[offset..], MAX_FRAME_BYTES) {
             Ok(Some((StoredFrame::Record(record), length))) => {
-                if !image.add(record) {
-                    return Err(corrupt(at, "a record does not follow on the one before".to_owned()));
+                if !state.apply(record) {
+                    return Err(corrupt(offset, "a record does not continue the ones before".to_owned()));
                 }
-                at += length;
+                offset += length;
             }
             Ok(Some((StoredFrame::PersistentState(_), _))) => {
-                return Err(corrupt(at, "a second image".to_owned()))
+                return Err(corrupt(offset, "a second whole state".to_owned()))
             }
-            // A length that was spoilt reads as a frame that is not whole.
-            Ok(None) if is_followed_by_frame(&bytes[at..]) => {
-                return Err(corrupt(at, "a frame has no end".to_owned()))
+            // A corrupt length field can make a frame look incomplete.
+            Ok(None) if is_followed_by_frame(&bytes[offset..]) => {
+                return Err(corrupt(offset, "an incomplete frame is followed by another frame".to_owned()))
             }
-            // Not whole: it was being written when the machine stopped.
+            // Incomplete: it was being written when the machine stopped.
             Ok(None) => break,
-            // Of the last write some blocks may be there and others not. Only what is followed by a whole frame was
-            // certainly on disk before it.
-            Err(e) if is_followed_by_frame(&bytes[at..]) => return Err(corrupt(at, e.to_string())),
+            // A crash may leave any subset of the blocks of the last write on disk. A frame was certainly on
+            // disk before only if a complete frame follows it.
+            Err(e) if is_followed_by_frame(&bytes[offset..]) => return Err(corrupt(offset, e.to_string())),
             Err(_) => break,
         }
     }
-    Ok(Some(image))
+    Ok(Some(state))
 }
 
-/// Whether any whole frame begins after the first byte: then what comes before it was once promised.
+/// Whether a complete frame begins after the first byte: then the data before it was once on disk.
 fn is_followed_by_frame(bytes: &[u8]) -> bool {
     (1..bytes.len().saturating_sub(frame::HEADER_BYTES))
-        .any(|at| matches!(frame::get::<StoredFrame>(&bytes[at..], MAX_FRAME_BYTES), Ok(Some(_))))
+        .any(|offset| matches!(frame::decode::<StoredFrame>(&bytes[offset..], MAX_FRAME_BYTES), Ok(Some(_))))
 }
 
 #[cfg(test)]
@@ -240,17 +254,17 @@
     use crate::disk::{FaultyDisk, RealDisk};
     use pearfork_ledger::{Change, Entry, HostNumber};
 
-    struct Scratch(PathBuf);
+    struct TempFolder(PathBuf);
 
-    impl Scratch {
-        fn new(name: &str) -> Scratch {
+    impl TempFolder {
+        fn new(name: &str) -> TempFolder {
             let path = std::env::temp_dir().join(format!("pearfork-store-{name}-{}", std::process::id()));
             let _ = std::fs::remove_dir_all(&path);
-            Scratch(path)
+            TempFolder(path)
         }
     }
 
-    impl Drop for Scratch {
+    impl Drop for TempFolder {
         fn drop(&mut self) {
             let _ = std::fs::remove_dir_all(&self.0);
         }
@@ -265,89 +279,97 @@
         vec![Record::HardState { term: 3, voted_for: Some(HostNumber(1)) }, entry(1), entry(2), entry(3)]
     }
 
-    fn open(folder: &Folder) -> Result<(Store, PersistentState), StoreError> {
-        Store::open(folder, Box::<RealDisk>::default(), owner("f", 1), Fraction::from_f64(0.5))
+    fn open(folder: &StoreFolder) -> Result<(Store, PersistentState), StoreError> {
+        Store::open(folder, Box::<RealDisk>::default(), header("f", 1), Fraction::from_f64(0.5))
     }
 
     #[test]
-    fn what_was_written_is_read_again_and_a_second_process_is_refused() {
-        let scratch = Scratch::new("again");
-        let folder = Folder::take(&scratch.0).unwrap();
-        let (mut store, image) = open(&folder).unwrap();
-        assert_eq!((image.term, image.entries.len()), (0, 0));
+    fn state_survives_reopening_and_a_second_process_is_refused() {
+        let temp = TempFolder::new("again");
+        let folder = StoreFolder::lock(&temp.0).unwrap();
+        let (mut store, state) = open(&folder).unwrap();
+        assert_eq!((state.term, state.entries.len()), (0, 0));
         store.append(records()).unwrap();
-        assert!(matches!(Folder::take(&scratch.0), Err(StoreError::Locked(_))));
+        assert!(matches!(StoreFolder::lock(&temp.0), Err(StoreError::Locked(_))));
         drop((store, folder));
-        let folder = Folder::take(&scratch.0).unwrap();
-        let (_, image) = open(&folder).unwrap();
-        assert_eq!((image.term, image.voted_for, image.entries.len()), (3, Some(HostNumber(1)), 3));
-        let other = Store::open(&folder, Box::<RealDisk>::default(), owner("g", 1), Fraction::from_f64(0.5));
-        assert!(matches!(other, Err(StoreError::Foreign { .. })));
-        let other = Store::open(&folder, Box::<RealDisk>::default(), owner("f", 1), Fraction::from_f64(0.4));
-        assert!(matches!(other, Err(StoreError::Foreign { .. })));
+        let folder = StoreFolder::lock(&temp.0).unwrap();
+        let (_, state) = open(&folder).unwrap();
+        assert_eq!((state.term, state.voted_for, state.entries.len()), (3, Some(HostNumber(1)), 3));
+        let other = Store::open(&folder, Box::<RealDisk>::default(), header("g", 1), Fraction::from_f64(0.5));
+        assert!(matches!(other, Err(StoreError::Mismatch { .. })));
+        let other = Store::open(&folder, Box::<RealDisk>::default(), header("f", 1), Fraction::from_f64(0.4));
+        assert!(matches!(other, Err(StoreError::Mismatch { .. })));
     }
 
-    /// Cut off at every byte, and with every byte flipped: never a panic, never a promise that was not made, and one
-    /// that was made is missing only where the file says that it is spoilt or ends there.
+    /// The file is truncated at every byte, and every byte is corrupted: reading never panics and never
+    /// returns state that was not written. Written state is missing only if the file is reported as corrupt
+    /// or ends there.
     #[test]
-    fn torn_and_flipped_files_are_found_or_lose_their_last_write_alone() {
-        let scratch = Scratch::new("torn");
-        let folder = Folder::take(&scratch.0).unwrap();
+    fn truncated_and_corrupt_files_are_rejected_or_lose_only_their_last_write() {
+        let temp = TempFolder::new("torn");
+        let folder = StoreFolder::lock(&temp.0).unwrap();
         let (mut store, _) = open(&folder).unwrap();
-        let head = std::fs::read(folder.state_file()).unwrap().len();
-        let mut ends = vec![head];
+        let initial_length = std::fs::read(folder.state_file()).unwrap().len();
+        let mut ends = vec![initial_length];
         for record in records() {
             store.append(vec![record]).unwrap();
             ends.push(std::fs::read(folder.state_file()).unwrap().len());
         }
         let bytes = std::fs::read(folder.state_file()).unwrap();
-        let whole = read(&folder.state_file(), &bytes, &owner("f", 1)).unwrap().unwrap();
-        for cut in 0..bytes.len() {
-            let got = read(&folder.state_file(), &bytes[..cut], &owner("f", 1));
-            let known = ends.iter().filter(|e| **e <= cut).count();
-            match got {
-                Ok(Some(image)) => {
-                    assert_eq!(image.entries.len(), known.saturating_sub(2), "cut at {cut}");
-                    assert_eq!(image.term > 0, known >= 2, "cut at {cut}");
+        let complete = read(&folder.state_file(), &bytes, &header("f", 1)).unwrap().unwrap();
+        for length in 0..bytes.len() {
+            let result = read(&folder.state_file(), &bytes[..length], &header("f", 1));
+            let complete_writes = ends.iter().filter(|e| **e <= length).count();
+            match result {
+                Ok(Some(state)) => {
+                    assert_eq!(
+                        state.entries.len(),
+                        complete_writes.saturating_sub(2),
+                        "truncated to {length} bytes"
+                    );
+                    assert_eq!(state.term > 0, complete_writes >= 2, "truncated to {length} bytes");
                 }
-                Ok(None) => assert_eq!(cut, 0),
-                Err(_) => assert!(cut < head, "cut at {cut}"),
+                Ok(None) => assert_eq!(length, 0),
+                Err(_) => assert!(length < initial_length, "truncated to {length} bytes"),
             }
         }
-        let last = ends[ends.len() - 2];
-        for at in 0..bytes.len() {
-            let mut spoilt = bytes.clone();
-            spoilt[at] ^= 0x10;
-            match read(&folder.state_file(), &spoilt, &owner("f", 1)) {
-                Ok(Some(image)) => {
-                    assert!(at >= last, "a flip at {at} went unseen");
-                    assert_eq!(image.entries.len(), 2);
+        let last_write = ends[ends.len() - 2];
+        for offset in 0..bytes.len() {
+            let mut corrupted = bytes.clone();
+            corrupted[offset] ^= 0x10;
+            match read(&folder.state_file(), &corrupted, &header("f", 1)) {
+                Ok(Some(state)) => {
+                    assert!(offset >= last_write, "corruption at byte {offset} was not detected");
+                    assert_eq!(state.entries.len(), 2);
                 }
-                Ok(None) => panic!("a flip at {at} made the file empty"),
+                Ok(None) => panic!("a file with corruption at byte {offset} was read as empty"),
                 Err(_) => {}
             }
         }
-        assert_eq!(whole.entries.len(), 3);
+        assert_eq!(complete.entries.len(), 3);
     }
 
     #[test]
-    fn a_disk_in_trouble_says_so_and_what_was_promised_before_stays() {
-        let scratch = Scratch::new("trouble");
-        let folder = Folder::take(&scratch.0).unwrap();
-        let trouble = scratch.0.join("trouble");
-        let disk = || Box::new(FaultyDisk::new(RealDisk::default(), trouble.clone()));
-        let (mut store, _) = Store::open(&folder, disk(), owner("f", 1), Fraction::from_f64(0.5)).unwrap();
+    fn a_disk_fault_is_reported_and_earlier_state_is_kept() {
+        let temp = TempFolder::new("trouble");
+        let folder = StoreFolder::lock(&temp.0).unwrap();
+        let fault_file = temp.0.join("trouble");
+        let disk = || Box::new(FaultyDisk::new(RealDisk::default(), fault_file.clone()));
+        let (mut store, _) = Store::open(&folder, disk(), header("f", 1), Fraction::from_f64(0.5)).unwrap();
         store.append(records()).unwrap();
-        for word in ["full", "torn", "fsync", "read-only"] {
-            std::fs::write(&trouble, word).unwrap();
-            assert!(store.append(vec![entry(4)]).is_err(), "{word}");
-            assert!(Store::open(&folder, disk(), owner("f", 1), Fraction::from_f64(0.5)).is_err(), "{word}");
-            std::fs::write(&trouble, "").unwrap();
-            let (again, image) =
-                Store::open(&folder, disk(), owner("f", 1), Fraction::from_f64(0.5)).unwrap();
-            assert!(image.entries.len() >= 3 && image.term == 3, "{word}");
-            store = again;
-            store.rewrite(&PersistentState { entries: image.entries[..3].to_vec(), ..image }).unwrap();
+        for fault in ["full", "torn", "fsync", "read-only"] {
+            std::fs::write(&fault_file, fault).unwrap();
+            assert!(store.append(vec![entry(4)]).is_err(), "{fault}");
+            assert!(
+                Store::open(&folder, disk(), header("f", 1), Fraction::from_f64(0.5)).is_err(),
+                "{fault}"
+            );
+            std::fs::write(&fault_file, "").unwrap();
+            let (reopened, state) =
+                Store::open(&folder, disk(), header("f", 1), Fraction::from_f64(0.5)).unwrap();
+            assert!(state.entries.len() >= 3 && state.term == 3, "{fault}");
+            store = reopened;
+            store.rewrite(&PersistentState { entries: state.entries[..3].to_vec(), ..state }).unwrap();
         }
     }
 }
--- a/crates/fleet/src/time.rs
+++ b/crates/fleet/src/time.rs
@@ -1,30 +1,31 @@
-//! The clock by which leases are counted.
+//! The clock that leases are measured with.
 
 use std::time::{Duration, Instant};
 
-/// Milliseconds since the process began, by the machine's monotonic clock; in trials it may be told to run fast or slow.
+/// A monotonic clock in milliseconds since its start. Fault-injection tests can make it run fast or slow.
 ///
-/// Danger: a clock that people or a time service set would end leases early or late by as much as it is set.
+/// It must not be the wall clock: a change of that by an administrator or a time service would end leases too
+/// early or too late by as much.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseClock {
-    began: Instant,
+    started_at: Instant,
     rate: f64,
 }
 
 impl LeaseClock {
-    /// Begins now.
+    /// A clock that starts now and runs at this rate relative to real time; 1 by default.
     pub fn start(rate: Option<f64>) -> LeaseClock {
-        LeaseClock { began: Instant::now(), rate: rate.unwrap_or(1.0) }
+        LeaseClock { started_at: Instant::now(), rate: rate.unwrap_or(1.0) }
     }
 
-    /// Milliseconds since it began.
+    /// Milliseconds since the start.
     pub fn now_ms(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1_000.0 * self.rate
+        self.started_at.elapsed().as_secs_f64() * 1_000.0 * self.rate
     }
 
-    /// The same as a moment of the machine.
-    pub fn instant(&self, at_ms: f64) -> Instant {
-        let after = (at_ms / 1_000.0 / self.rate).clamp(0.0, 1e9);
-        self.began + Duration::from_secs_f64(after)
+    /// Converts a time of this clock to an [`Instant`].
+    pub fn instant(&self, time_ms: f64) -> Instant {
+        let elapsed_seconds = (time_ms / 1_000.0 / self.rate).clamp(0.0, 1e9);
+        self.started_at + Duration::from_secs_f64(elapsed_seconds)
     }
 }
--- a/crates/fleet/src/transport.rs
+++ b/crates/fleet/src/transport.rs
@@ -1,8 +1,8 @@
-//! The transport between the hosts of a fleet: all sockets, in one thread.
+//! The transport between the hosts of a fleet: one thread that owns all sockets.
 //!
-//! A voter listens; every host dials every voter. Messages to a voter go over the connection that was dialed, and
-//! responses come back there. What can't be sent at once waits in a bounded buffer, and what finds that full is dropped:
-//! whoever needs a response sends its message again.
+//! Voters listen, and every host dials every voter. Messages to a voter go over the dialed connection, and
+//! its responses return over the same one. Messages that cannot be sent at once are queued in a bounded
+//! buffer. If that is full, they are dropped; a sender that needs a response repeats its message.
 
 mod channel;
 mod connection;
@@ -18,7 +18,7 @@
 use connection::Connection;
 use crossbeam_channel::{Receiver, Sender};
 use links::Link;
-use pearfork_ledger::{Hello, HostNumber, Message, VERSION};
+use pearfork_ledger::{Hello, HostNumber, Message, PROTOCOL_VERSION};
 use pearfork_net::{Poller, Ready, Want};
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -26,21 +26,22 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes that may wait for one connection, beyond one message of any length.
+/// Queued bytes above which a connection accepts no further message. One message may exceed this bound.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// Most connections: so many for each host, and some more.
+/// Maximum number of connections: this many per host, ...
 const CONNECTIONS_PER_HOST: usize = 4;
+/// ... plus this many.
 const EXTRA_CONNECTIONS: usize = 64;
-/// The poller's token of the listener.
+/// Poller token of the listener.
 const LISTENER: u64 = u64::MAX - 1;
 
-/// Where commands come from, and where received messages go.
+/// The channels of the transport: its commands, and the queues for received messages.
 pub struct Channels {
-    /// Commands.
+    /// Commands to the transport.
     pub commands: Receiver<TransportCommand>,
-    /// The voter, where this host is one.
+    /// Queue of the voter, if this host is one.
     pub voter: Option<Sender<VoterEvent>>,
-    /// The holder.
+    /// Queue of the holder.
     pub holder: Sender<HolderEvent>,
 }
 
@@ -54,17 +55,17 @@
     connections: HashMap<u64, Connection>,
     next_connection: u64,
     links: HashMap<HostNumber, Link>,
-    /// When links are to be maintained next.
+    /// When the links are maintained next.
     maintain_at: Instant,
     observer: LinkObserver,
     traffic: Arc<Traffic>,
 }
 
 impl Transport {
-    /// A transport that does not run yet.
+    /// A transport that is not running yet.
     ///
     /// # Errors
-    /// The poller can't watch the listener.
+    /// The listener cannot be registered with the poller.
     pub fn new(
         plan: Arc<FleetPlan>,
         listener: Option<TcpListener>,
@@ -77,8 +78,12 @@
             listener.set_nonblocking(true)?;
             poller.add(listener, LISTENER, Want::Read)?;
         }
-        let hello =
-            Hello { version: VERSION, fleet: plan.name.clone(), settings: plan.fingerprint(), host: plan.me };
+        let hello = Hello {
+            version: PROTOCOL_VERSION,
+            fleet: plan.name.clone(),
+            settings: plan.fingerprint(),
+            host: plan.me,
+        };
         let now = Instant::now();
         let others = plan.voters.iter().filter(|v| v.host != plan.me);
         let links = others.map(|v| (v.host, Link::new(now))).collect();
@@ -97,7 +102,7 @@
         })
     }
 
-    /// Runs until it gets the command to stop.
+    /// Runs until it receives the command to stop.
     pub fn run(mut self) {
         let mut ready = Vec::new();
         while self.execute_commands() {
@@ -106,20 +111,20 @@
                 self.maintain_at = self.maintain_links(now);
             }
             if self.poller.wait(&mut ready, Some(self.maintain_at)).is_err() {
-                tracing::error!("the fleet's sockets can't be waited for any more");
+                tracing::error!("polling the fleet sockets failed; the transport stops");
                 return;
             }
             for Ready { token, broken, .. } in ready.drain(..) {
                 if token == LISTENER {
                     self.accept();
                 } else {
-                    self.serve(token, broken);
+                    self.handle_ready(token, broken);
                 }
             }
         }
     }
 
-    /// Executes the commands that wait; false where one says to stop.
+    /// Executes the queued commands. Returns false if one of them is to stop.
     fn execute_commands(&mut self) -> bool {
         let commands = self.channels.commands.clone();
         for command in commands.try_iter() {
@@ -147,11 +152,11 @@
         }
     }
 
-    /// Keeps an accepted connection, unless there are too many.
+    /// Registers an accepted connection, unless there are too many.
     fn add_accepted(&mut self, stream: TcpStream) {
-        let most = self.plan.hosts as usize * CONNECTIONS_PER_HOST + EXTRA_CONNECTIONS;
+        let max_connections = self.plan.hosts as usize * CONNECTIONS_PER_HOST + EXTRA_CONNECTIONS;
         let id = self.next_connection;
-        let is_kept = self.connections.len() < most
+        let is_kept = self.connections.len() < max_connections
             && stream.set_nonblocking(true).is_ok()
             && self.poller.add(&stream, id, Want::Read).is_ok();
         if is_kept {
@@ -161,8 +166,9 @@
         }
     }
 
-    /// Sends a message, or queues it. Nothing but the handshake goes before that is done, and nothing more to a peer that
-    /// does not read.
+    /// Sends a message, or queues what the socket does not take. Other messages than the handshake are
+    /// dropped until the handshake is done, and every message is dropped while the peer leaves too much of
+    /// its queue unread.
     fn send(&mut self, id: u64, message: &Message) {
         let Some(c) = self.connections.get_mut(&id) else { return };
         let is_handshake = matches!(message, Message::Hello(_) | Message::Refused(_));
@@ -171,18 +177,19 @@
         }
         c.enqueue(message);
         if !c.connecting && c.flush().is_err() {
-            return self.close(id, "the connection broke");
+            return self.close(id, "sending failed");
         }
         self.watch(id);
     }
 
-    /// Has the poller watch for what the connection waits for; closes it where that was all.
+    /// Updates what the poller watches the connection for. A refused connection is closed once its output is
+    /// sent.
     fn watch(&mut self, id: u64) {
         let Some(c) = self.connections.get_mut(&id) else { return };
         if c.closing && !c.has_output() {
             return self.close(id, "refused");
         }
-        // The poller watches for one thing at a time: what waits to be sent goes first, and is bounded.
+        // The poller watches for reading or writing, not both. Queued output goes first; its size is bounded.
         let want = if c.has_output() { Want::Write } else { Want::Read };
         if c.watched != want {
             c.watched = want;
--- a/crates/fleet/src/transport/channel.rs
+++ b/crates/fleet/src/transport/channel.rs
@@ -1,4 +1,4 @@
-//! What the transport, the voter and the holder pass to each other: one bounded queue for each of the three threads.
+//! Messages between the transport, voter and holder threads. Each thread has one bounded queue.
 
 use crossbeam_channel::{Sender, TrySendError};
 use pearfork_ledger::raft::RaftMessage;
@@ -6,10 +6,10 @@
 use pearfork_net::Poller;
 use std::sync::Arc;
 
-/// Where a response goes: over a connection, or to the holder of this very process.
+/// The sender of a lease request, to which the response goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Requester {
-    /// The connection that the request came over.
+    /// The host at the other end of this connection.
     Connection(u64),
     /// The holder in this process.
     Local,
@@ -18,11 +18,11 @@
 /// An event for the voter's thread.
 #[derive(Debug)]
 pub enum VoterEvent {
-    /// A message of another voter.
+    /// A message from another voter.
     Raft(HostNumber, RaftMessage),
-    /// A request for a lease.
+    /// A lease request.
     LeaseRequest(Requester, LeaseRequest),
-    /// The process ends.
+    /// Stop the thread.
     Stop,
 }
 
@@ -31,9 +31,9 @@
 pub enum HolderEvent {
     /// A response, and the voter that sent it.
     LeaseResponse(HostNumber, LeaseResponse),
-    /// Give all back and end.
+    /// Release the lease and stop.
     Leave,
-    /// End at once.
+    /// Stop at once.
     Stop,
 }
 
@@ -42,13 +42,13 @@
 pub enum TransportCommand {
     /// Send a message to a voter.
     Send(HostNumber, Message),
-    /// Send a response over the connection that its request came over.
+    /// Send a response over this connection, which its request arrived on.
     Respond(u64, LeaseResponse),
-    /// End.
+    /// Stop the thread.
     Stop,
 }
 
-/// Sends commands to the transport's thread; never blocks.
+/// Sends commands to the transport's thread without blocking.
 #[derive(Clone)]
 pub struct TransportHandle {
     commands: Sender<TransportCommand>,
@@ -56,12 +56,12 @@
 }
 
 impl TransportHandle {
-    /// A handle whose commands go into this queue; the poller wakes the thread that reads it.
+    /// A handle that sends to this queue and wakes the thread that reads it through the poller.
     pub fn new(commands: Sender<TransportCommand>, poller: Arc<Poller>) -> TransportHandle {
         TransportHandle { commands, poller }
     }
 
-    /// Sends a command. One that finds the queue full is dropped.
+    /// Sends a command. If the queue is full, the command is dropped.
     pub fn send(&self, command: TransportCommand) {
         if !matches!(self.commands.try_send(command), Err(TrySendError::Disconnected(_))) {
             self.poller.wake();
--- a/crates/fleet/src/transport/connection.rs
+++ b/crates/fleet/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its socket, its buffers, and what is known of the other side.
+//! One connection: its socket, its buffers and its peer.
 
 use super::traffic::Traffic;
 use crate::frame;
@@ -9,36 +9,36 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes read at once.
+/// Bytes per read call.
 const READ_BYTES: usize = 16 << 10;
-/// An empty input buffer that is larger than this is freed.
-const KEPT_INPUT_BYTES: usize = 64 << 10;
+/// An empty input buffer with a larger capacity than this is freed.
+const MAX_IDLE_INPUT_BYTES: usize = 64 << 10;
 
-/// Messages out of the input buffer.
+/// Messages that were decoded from the input buffer.
 pub(super) struct Decoded {
     pub(super) messages: Vec<Message>,
-    /// Why the bytes after them are no message.
-    pub(super) fault: Option<String>,
+    /// Why the data after them cannot be decoded; none if it can or is incomplete.
+    pub(super) error: Option<String>,
 }
 
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// The voter that was dialed; none where the other side dialed.
+    /// The voter that this host dialed; none if the peer dialed.
     pub(super) dialed: Option<HostNumber>,
-    /// The other side, once its handshake was accepted.
+    /// The peer, once its handshake was accepted.
     pub(super) peer: Option<HostNumber>,
-    /// A dialed connection is not up yet.
+    /// A dialed connection is not established yet.
     pub(super) connecting: bool,
-    /// What the poller watches for.
+    /// What the poller watches the socket for.
     pub(super) watched: Want,
     pub(super) opened_at: Instant,
-    pub(super) last_heard_at: Instant,
+    pub(super) last_received_at: Instant,
     pub(super) keepalive_sent_at: Instant,
-    /// It is closed once its output is sent.
+    /// The connection is to be closed once its output is sent.
     pub(super) closing: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Bytes of `output` that are sent.
+    /// Number of bytes of `output` that are sent.
     sent: usize,
     traffic: Arc<Traffic>,
 }
@@ -57,7 +57,7 @@
             connecting: dialed.is_some(),
             watched: if dialed.is_some() { Want::Write } else { Want::Read },
             opened_at: now,
-            last_heard_at: now,
+            last_received_at: now,
             keepalive_sent_at: now,
             closing: false,
             input: Vec::new(),
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Whether the connection was dialed here, and the handshake is done.
+    /// Whether this host dialed the connection and the handshake is done.
     pub(super) fn is_link(&self) -> bool {
         self.dialed.is_some() && self.peer.is_some()
     }
 
-    /// Notes that a dialed connection is up; false where it failed.
+    /// Completes a dialed connection. Returns false if connecting failed.
     pub(super) fn finish_connecting(&mut self) -> bool {
         if self.connecting && !matches!(self.stream.take_error(), Ok(None)) {
             return false;
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Bytes that wait to be sent.
+    /// Number of bytes that wait to be sent.
     pub(super) fn queued_bytes(&self) -> usize {
         self.output.len() - self.sent
     }
@@ -90,13 +90,13 @@
         !self.output.is_empty()
     }
 
-    /// Adds a message to what waits to be sent.
+    /// Queues a message for sending.
     pub(super) fn enqueue(&mut self, message: &Message) {
-        frame::put(&mut self.output, message);
+        frame::encode(&mut self.output, message);
         self.traffic.add_sent_message();
     }
 
-    /// Sends as much as the socket takes at once.
+    /// Sends as much as the socket takes without blocking.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         while self.sent < self.output.len() {
             match (&self.stream).write(&self.output[self.sent..]) {
@@ -119,7 +119,8 @@
         Ok(())
     }
 
-    /// Reads what is there, up to one message of `max_bytes` and a little more; whether the other side closed.
+    /// Reads the available data, up to one message of `max_bytes` plus one read call. Returns whether the
+    /// peer closed the connection.
     pub(super) fn read(&mut self, max_bytes: usize) -> bool {
         let mut buffer = [0u8; READ_BYTES];
         while self.input.len() <= max_bytes + frame::HEADER_BYTES {
@@ -137,25 +138,25 @@
         false
     }
 
-    /// Takes all complete messages of at most `max_bytes` out of the input.
+    /// Removes all complete messages of at most `max_bytes` from the input and decodes them.
     pub(super) fn decode(&mut self, max_bytes: usize) -> Decoded {
-        let mut taken = 0;
+        let mut consumed = 0;
         let mut messages = Vec::new();
-        let fault = loop {
-            match frame::get::<Message>(&self.input[taken..], max_bytes) {
+        let error = loop {
+            match frame::decode::<Message>(&self.input[consumed..], max_bytes) {
                 Ok(Some((message, length))) => {
                     messages.push(message);
-                    taken += length;
+                    consumed += length;
                 }
                 Ok(None) => break None,
                 Err(e) => break Some(e.to_string()),
             }
         };
-        self.input.drain(..taken);
+        self.input.drain(..consumed);
         self.traffic.add_received_messages(messages.len());
-        if self.input.is_empty() && self.input.capacity() > KEPT_INPUT_BYTES {
+        if self.input.is_empty() && self.input.capacity() > MAX_IDLE_INPUT_BYTES {
             self.input = Vec::new();
         }
-        Decoded { messages, fault }
+        Decoded { messages, error }
     }
 }
--- a/crates/fleet/src/transport/links.rs
+++ b/crates/fleet/src/transport/links.rs
@@ -1,4 +1,4 @@
-//! Links to voters: dialing with backoff, keepalives, and what is given up.
+//! Links to voters: dialing with backoff, keepalives and timeouts.
 
 use super::connection::Connection;
 use super::Transport;
@@ -7,27 +7,27 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a connection may take to come up and finish its handshake.
+/// Time within which a connection must be established and its handshake done.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often a keepalive is sent over a dialed connection.
+/// Interval between the keepalives on a dialed connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(700);
-/// A dialed connection over which nothing is heard for so many intervals is given up.
+/// Number of keepalive intervals without any received message after which a dialed connection is closed.
 const MISSED_KEEPALIVES: u32 = 3;
-/// The pause before a second attempt to reach a voter; each further pause is twice as long.
+/// Initial backoff before a voter is dialed again; it doubles with each failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(80);
-/// The longest such pause.
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 
 /// Status of the link to a voter, for status pages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkStatus {
-    /// Whether it is up and the handshake is done.
+    /// Whether the link is up and the handshake is done.
     pub up: bool,
-    /// Why one of the two sides refused the other.
+    /// Why this host or the voter refused the other side; none if neither did.
     pub refused: Option<String>,
 }
 
-/// Called at each change of the links.
+/// Called whenever the status of a link changes.
 pub type LinkObserver = Box<dyn FnMut(&HashMap<HostNumber, LinkStatus>) + Send>;
 
 /// The link to one voter.
@@ -47,68 +47,70 @@
         self.connection
     }
 
-    /// The handshake is done.
-    pub(super) fn set_up(&mut self) {
+    /// Marks the link as up: the handshake is done.
+    pub(super) fn mark_up(&mut self) {
         self.backoff = MIN_BACKOFF;
         self.status = LinkStatus { up: true, refused: None };
     }
 
-    /// The voter refused this host.
-    pub(super) fn set_refused_by_voter(&mut self, why: String) {
-        self.status.refused = Some(why);
+    /// Records that the voter refused this host, and why.
+    pub(super) fn record_refusal_by_voter(&mut self, reason: String) {
+        self.status.refused = Some(reason);
         self.backoff = MAX_BACKOFF;
     }
 
-    /// This host refused the voter.
-    pub(super) fn set_refused_here(&mut self, why: String) {
-        self.status.refused = Some(why);
+    /// Records that this host refused the voter, and why.
+    pub(super) fn record_refusal_by_self(&mut self, reason: String) {
+        self.status.refused = Some(reason);
     }
 
     fn start_backoff(&mut self, now: Instant, id: u64) {
-        // Danger: hundreds of hosts that lost a voter at once would come back to it at once, and again at once.
-        let spread = 1.0 + f64::from(id as u32 % 7) / 10.0;
-        self.dial_at = now + self.backoff.mul_f64(spread);
+        // Without jitter, hundreds of hosts that lose a voter at the same time would all dial it at the same
+        // time, again and again.
+        let jitter = 1.0 + f64::from(id as u32 % 7) / 10.0;
+        self.dial_at = now + self.backoff.mul_f64(jitter);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 impl Transport {
-    /// Dials, sends keepalives and gives up connections; when to do so again.
+    /// Dials voters, sends keepalives and closes connections that have timed out. Returns when to call it
+    /// again.
     pub(super) fn maintain_links(&mut self, now: Instant) -> Instant {
         self.dial_due(now);
         let down = self.links.values().filter(|link| link.connection.is_none());
         let next = down.map(|link| link.dial_at).fold(now + KEEPALIVE_INTERVAL / 4, Instant::min);
-        let (silent, idle) = self.silent_and_idle(now);
-        for id in silent {
-            self.close(id, "no sign of life");
+        let (timed_out, need_keepalive) = self.due_connections(now);
+        for id in timed_out {
+            self.close(id, "no message within the timeout");
         }
-        for id in idle {
+        for id in need_keepalive {
             self.send_keepalive(id, now);
         }
         next
     }
 
-    /// Connections to give up, and links that need a keepalive.
-    fn silent_and_idle(&self, now: Instant) -> (Vec<u64>, Vec<u64>) {
-        let mut silent = Vec::new();
-        let mut idle = Vec::new();
+    /// Connections that have timed out, and connections that need a keepalive.
+    fn due_connections(&self, now: Instant) -> (Vec<u64>, Vec<u64>) {
+        let mut timed_out = Vec::new();
+        let mut need_keepalive = Vec::new();
         for (id, c) in &self.connections {
             let no_handshake = c.peer.is_none() && now - c.opened_at > HANDSHAKE_TIMEOUT;
-            let unheard = c.is_link() && now - c.last_heard_at > MISSED_KEEPALIVES * KEEPALIVE_INTERVAL;
-            if no_handshake || unheard {
-                silent.push(*id);
+            let silent = c.is_link() && now - c.last_received_at > MISSED_KEEPALIVES * KEEPALIVE_INTERVAL;
+            if no_handshake || silent {
+                timed_out.push(*id);
             } else if c.is_link() && now - c.keepalive_sent_at >= KEEPALIVE_INTERVAL {
-                idle.push(*id);
+                need_keepalive.push(*id);
             }
         }
-        (silent, idle)
+        (timed_out, need_keepalive)
     }
 
     fn send_keepalive(&mut self, id: u64, now: Instant) {
         if let Some(c) = self.connections.get_mut(&id) {
             c.keepalive_sent_at = now;
         }
-        // The other side responds to a handshake with its own.
+        // The keepalive is a handshake message; the peer responds with its own.
         self.send(id, &Message::Hello(self.hello.clone()));
     }
 
@@ -153,7 +155,7 @@
         self.maintain_at = self.maintain_at.min(link.dial_at);
         let was_up = std::mem::take(&mut link.status.up);
         if was_up {
-            tracing::info!(voter = host.0, why, "the link to a voter is down");
+            tracing::info!(voter = host.0, why, "link to voter is down");
         }
         self.notify_observer();
     }
--- a/crates/fleet/src/transport/receive.rs
+++ b/crates/fleet/src/transport/receive.rs
@@ -1,17 +1,17 @@
-//! What comes in over connections: bytes, the handshake, and messages for the voter and the holder.
+//! Receiving: decoding, the handshake, and dispatching messages to the voter and the holder.
 
 use super::channel::{HolderEvent, Requester, VoterEvent};
 use super::connection::{Connection, Decoded};
 use super::Transport;
 use crate::plan::FleetPlan;
-use pearfork_ledger::{Hello, HostNumber, Message, VERSION};
+use pearfork_ledger::{Hello, HostNumber, Message, PROTOCOL_VERSION};
 use std::time::Instant;
 
-/// Longest message from somebody whose handshake is not done.
+/// Maximum length of a message from a peer whose handshake is not done.
 const MAX_HELLO_BYTES: usize = 4 << 10;
-/// Longest message from a host: a request for some thousand budgets.
+/// Maximum length of a message from a host: a request for a few thousand budgets.
 const MAX_HOST_MESSAGE_BYTES: usize = 1 << 20;
-/// Longest message from a voter: the state of a fleet with as many hosts and budgets as there may be.
+/// Maximum length of a message from a voter: a snapshot of the largest possible fleet.
 const MAX_VOTER_MESSAGE_BYTES: usize = 64 << 20;
 
 fn is_voter(plan: &FleetPlan, host: HostNumber) -> bool {
@@ -27,33 +27,33 @@
 }
 
 impl Transport {
-    /// Serves a connection that the poller reported.
-    pub(super) fn serve(&mut self, id: u64, broken: bool) {
+    /// Handles a connection that the poller reported as ready.
+    pub(super) fn handle_ready(&mut self, id: u64, broken: bool) {
         let Some(c) = self.connections.get_mut(&id) else { return };
         if broken {
-            return self.close(id, "the connection broke");
+            return self.close(id, "the connection was reset");
         }
         if !c.finish_connecting() {
-            return self.close(id, "no connection");
+            return self.close(id, "connecting failed");
         }
         if c.has_output() && c.flush().is_err() {
-            return self.close(id, "the connection broke");
+            return self.close(id, "sending failed");
         }
         let max_bytes = max_message_bytes(&self.plan, c);
-        let ended = c.read(max_bytes);
-        let Decoded { messages, fault } = c.decode(max_bytes);
+        let is_closed = c.read(max_bytes);
+        let Decoded { messages, error } = c.decode(max_bytes);
         if !messages.is_empty() {
-            c.last_heard_at = Instant::now();
+            c.last_received_at = Instant::now();
         }
         for message in messages {
             self.handle_message(id, message);
         }
-        if let Some(fault) = fault {
-            tracing::warn!(fault, "a peer of the fleet speaks no sense");
-            return self.close(id, "it speaks no sense");
+        if let Some(fault) = error {
+            tracing::warn!(fault, "closing a fleet connection after an invalid message");
+            return self.close(id, "invalid message");
         }
-        if ended {
-            return self.close(id, "the other side closed");
+        if is_closed {
+            return self.close(id, "the peer closed the connection");
         }
         self.watch(id);
     }
@@ -73,22 +73,23 @@
             (Some(peer), Message::LeaseResponse(response)) if dialed.is_some() => {
                 let _ = self.channels.holder.try_send(HolderEvent::LeaseResponse(peer, response));
             }
-            // Before the handshake, or out of place.
-            _ => self.close(id, "it speaks out of turn"),
+            // A message before the handshake, or one that this peer may not send.
+            _ => self.close(id, "unexpected message"),
         }
     }
 
     fn send_to_voter(&self, event: VoterEvent) {
         if let Some(voter) = &self.channels.voter {
-            // A voter whose disk stalls hears no more for a while; all this is sent again.
+            // While the voter's disk stalls its queue may be full. The message is dropped, and its sender
+            // repeats it.
             let _ = voter.try_send(event);
         }
     }
 
     fn handle_refused(&mut self, id: u64, dialed: Option<HostNumber>, why: String) {
-        tracing::warn!(why, "a voter of the fleet refuses this host");
+        tracing::warn!(why, "this host was refused by a fleet peer");
         if let Some(link) = dialed.and_then(|host| self.links.get_mut(&host)) {
-            link.set_refused_by_voter(why);
+            link.record_refusal_by_voter(why);
         }
         self.close(id, "refused");
     }
@@ -99,28 +100,28 @@
             return self.refuse(id, hello.host, why);
         }
         if c.dialed.is_some_and(|host| host != hello.host) {
-            return self.close(id, "another host answers at its address");
+            return self.close(id, "another host responded at the voter's address");
         }
         let is_first = c.peer.is_none();
         c.peer = Some(hello.host);
         match c.dialed {
             Some(host) if is_first => {
                 if let Some(link) = self.links.get_mut(&host) {
-                    link.set_up();
+                    link.mark_up();
                 }
                 self.notify_observer();
             }
-            // A response to a keepalive.
+            // The response to a keepalive.
             Some(_) => {}
             None => self.send(id, &Message::Hello(self.hello.clone())),
         }
     }
 
     fn refuse(&mut self, id: u64, host: HostNumber, why: String) {
-        tracing::warn!(host = host.0, why, "refused a host of the fleet");
+        tracing::warn!(host = host.0, why, "refused a fleet peer");
         let dialed = self.connections.get(&id).and_then(|c| c.dialed);
         if let Some(link) = dialed.and_then(|host| self.links.get_mut(&host)) {
-            link.set_refused_here(why.clone());
+            link.record_refusal_by_self(why.clone());
         }
         self.send(id, &Message::Refused(why));
         if let Some(c) = self.connections.get_mut(&id) {
@@ -130,22 +131,22 @@
     }
 }
 
-/// Why a host that sends this handshake is refused.
+/// The reason to refuse the sender of this handshake; none if it is accepted.
 fn refusal(own: &Hello, hosts: u32, theirs: &Hello) -> Option<String> {
-    if theirs.version != VERSION {
-        return Some(format!("this host speaks version {VERSION}, not {}", theirs.version));
+    if theirs.version != PROTOCOL_VERSION {
+        return Some(format!("this host speaks protocol version {PROTOCOL_VERSION}, not {}", theirs.version));
     }
     if theirs.fleet != own.fleet {
         return Some(format!("this is fleet `{}`, not `{}`", own.fleet, theirs.fleet));
     }
     if theirs.settings != own.settings {
         return Some(format!(
-            "the fleet's settings differ: {} here, {} there (name, hosts, voters, floors, lease, drift)",
+            "the fleet settings differ: checksum {} here, {} there (name, hosts, voters, floors, lease, drift)",
             own.settings, theirs.settings
         ));
     }
     if u32::from(theirs.host.0) >= hosts {
-        return Some(format!("host {} is not below hosts = {hosts}", theirs.host.0));
+        return Some(format!("host number {} is not below hosts = {hosts}", theirs.host.0));
     }
     None
 }
--- a/crates/fleet/src/transport/traffic.rs
+++ b/crates/fleet/src/transport/traffic.rs
@@ -1,22 +1,22 @@
-//! Counts of what goes over a host's sockets to and from its fleet.
+//! Traffic counters of a host's fleet sockets.
 
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the start, as they stand at a moment.
+/// The counts since the start, at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCounts {
-    /// Bytes that sockets took.
+    /// Bytes written to sockets.
     pub bytes_sent: u64,
-    /// Bytes that came.
+    /// Bytes read from sockets.
     pub bytes_received: u64,
-    /// Messages that were handed over to be sent.
+    /// Messages queued for sending.
     pub messages_sent: u64,
-    /// Whole messages that came.
+    /// Complete messages received.
     pub messages_received: u64,
 }
 
-/// The counters, which the transport's thread raises.
+/// The counters, which the transport's thread increments.
 #[derive(Debug, Default)]
 pub struct Traffic {
     bytes_sent: AtomicU64,
@@ -26,7 +26,7 @@
 }
 
 impl Traffic {
-    /// The counts now.
+    /// The current counts.
     pub fn counts(&self) -> TrafficCounts {
         TrafficCounts {
             bytes_sent: self.bytes_sent.load(Ordering::Relaxed),
--- a/crates/fleet/src/voter_selection.rs
+++ b/crates/fleet/src/voter_selection.rs
@@ -1,29 +1,30 @@
-//! Which voter a host sends its requests to. No I/O, no clock.
+//! Selects the voter that a host sends its lease requests to. No I/O, no clock.
 
 use pearfork_ledger::HostNumber;
 
-/// Requests without a lease after which each further one goes to the next voter.
+/// Number of requests without a lease or redirect after which each further request goes to the next voter.
 pub const MAX_UNANSWERED: u32 = 3;
 
-/// The choice of a voter: it stays with one that leads, follows redirects, and tries all in turn where none responds.
+/// Selects a voter: stays with the leader, follows redirects, and tries all voters in turn if there is no
+/// response.
 #[derive(Clone, Debug)]
 pub struct VoterSelection {
     voters: Vec<HostNumber>,
-    /// Place of the present choice.
+    /// Index of the selected voter.
     current: usize,
-    /// Requests since the last lease or redirect.
+    /// Number of requests since the last lease or redirect.
     unanswered: u32,
 }
 
 impl VoterSelection {
-    /// The selection of a host. A voter begins with itself; other hosts begin with different voters.
-    pub fn new(me: HostNumber, voters: Vec<HostNumber>) -> VoterSelection {
-        let own = voters.iter().position(|voter| *voter == me);
-        let current = own.unwrap_or(usize::from(me.0) % voters.len().max(1));
+    /// The selection of a host. A voter starts with itself; other hosts are spread over the voters.
+    pub fn new(host: HostNumber, voters: Vec<HostNumber>) -> VoterSelection {
+        let own = voters.iter().position(|voter| *voter == host);
+        let current = own.unwrap_or(usize::from(host.0) % voters.len().max(1));
         VoterSelection { voters, current, unanswered: 0 }
     }
 
-    /// The present choice; none where there are no voters.
+    /// The selected voter; none if there are no voters.
     pub fn current(&self) -> Option<HostNumber> {
         self.voters.get(self.current).copied()
     }
@@ -40,24 +41,25 @@
         self.current()
     }
 
-    /// A voter that does not lead named the leader, if it knows one. True where another request should go there at once.
+    /// Handles a response of a voter that is not the leader but may know it. Returns whether to send a
+    /// request to the leader at once.
     pub fn handle_redirect(&mut self, leader: Option<HostNumber>) -> bool {
-        match leader.and_then(|leader| self.place(leader)) {
-            Some(place) if place != self.current => {
-                (self.current, self.unanswered) = (place, 0);
+        match leader.and_then(|leader| self.index_of(leader)) {
+            Some(index) if index != self.current => {
+                (self.current, self.unanswered) = (index, 0);
                 true
             }
             _ => false,
         }
     }
 
-    /// A voter responded with a lease: it leads.
+    /// Handles a lease from a voter, which is therefore the leader.
     pub fn handle_lease(&mut self, from: HostNumber) {
         self.unanswered = 0;
-        self.current = self.place(from).unwrap_or(self.current);
+        self.current = self.index_of(from).unwrap_or(self.current);
     }
 
-    fn place(&self, host: HostNumber) -> Option<usize> {
+    fn index_of(&self, host: HostNumber) -> Option<usize> {
         self.voters.iter().position(|voter| *voter == host)
     }
 }
--- a/crates/fleet/src/voter_thread.rs
+++ b/crates/fleet/src/voter_thread.rs
@@ -1,9 +1,9 @@
-//! The voter's thread: handles events, writes to disk, and only then sends.
+//! The voter's thread: handles events, writes the state to disk, and only then sends messages.
 
 use crate::disk::{Disk, FaultyDisk, RealDisk};
 use crate::plan::FleetPlan;
-use crate::state::{Shared, VoterView};
-use crate::store::{owner, Folder, Store, StoreError};
+use crate::state::{SharedView, VoterView};
+use crate::store::{header, Store, StoreError, StoreFolder};
 use crate::time::LeaseClock;
 use crate::transport::{HolderEvent, Requester, TransportCommand, TransportHandle, VoterEvent};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
@@ -12,21 +12,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often a disk that failed is tried again.
+/// Interval between attempts to reopen the store after a disk error.
 const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the voter's view is published: to make it takes as long as there are members and budgets.
+/// Interval at which the voter's status is published. Building it takes time in proportion to members and
+/// budgets.
 const VIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// Most events that are handled before one write for all of them.
+/// Maximum number of queued events that are handled before one write for all of them.
 const BATCH: usize = 64;
 
 pub(crate) struct VoterThread {
     pub(crate) plan: Arc<FleetPlan>,
-    pub(crate) folder: Folder,
+    pub(crate) folder: StoreFolder,
     pub(crate) events: Receiver<VoterEvent>,
     pub(crate) transport: TransportHandle,
-    /// The holder of this process.
+    /// Queue of the holder in this process.
     pub(crate) holder: Sender<HolderEvent>,
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedView>,
     pub(crate) clock: LeaseClock,
     pub(crate) seed: u64,
 }
@@ -40,34 +41,39 @@
     }
 
     /// Opens the store of a voter in its folder.
-    pub(crate) fn open(plan: &FleetPlan, folder: &Folder) -> Result<(Store, PersistentState), StoreError> {
-        let owner = owner(&plan.name, plan.me.0);
-        Store::open(folder, VoterThread::disk(plan), owner, plan.lendable())
+    pub(crate) fn open(
+        plan: &FleetPlan,
+        folder: &StoreFolder,
+    ) -> Result<(Store, PersistentState), StoreError> {
+        let header = header(&plan.name, plan.me.0);
+        Store::open(folder, VoterThread::disk(plan), header, plan.lendable())
     }
 
-    /// Votes until told to stop. While the disk fails it neither votes nor lends, and tries again now and then.
+    /// Runs the voter until the thread is told to stop. While the disk fails it neither votes nor grants
+    /// leases, and periodically tries to reopen the store.
     pub(crate) fn run(mut self, mut opened: Option<(Store, PersistentState)>) {
         loop {
             if let Some((store, state)) = opened.take() {
-                let Err(why) = self.vote(store, state) else { return };
-                tracing::error!(%why, "this voter stops voting and lending until its disk is well");
+                let Err(why) = self.run_voter(store, state) else { return };
+                tracing::error!(%why, "voter state cannot be written; this voter is inactive until the disk recovers");
                 let trouble = Some(why.to_string());
-                self.shared.voter(|view| *view = VoterView { trouble, ..VoterView::default() });
+                self.shared.update_voter(|view| *view = VoterView { trouble, ..VoterView::default() });
             }
             if self.reject_requests_until(Instant::now() + DISK_RETRY_INTERVAL) {
                 return;
             }
             match VoterThread::open(&self.plan, &self.folder) {
-                Ok(again) => {
-                    tracing::warn!("the disk is well again, this voter votes");
-                    opened = Some(again);
+                Ok(reopened) => {
+                    tracing::warn!("voter state can be written again; this voter resumes voting");
+                    opened = Some(reopened);
                 }
-                Err(why) => self.shared.voter(|view| view.trouble = Some(why.to_string())),
+                Err(why) => self.shared.update_voter(|view| view.trouble = Some(why.to_string())),
             }
         }
     }
 
-    /// Ignores other voters for a while, and tells hosts to ask another one; true where the thread is to stop.
+    /// Until a point in time, drops messages of other voters and redirects hosts to another voter. Returns
+    /// whether the thread is to stop.
     fn reject_requests_until(&self, until: Instant) -> bool {
         loop {
             match self.events.recv_deadline(until) {
@@ -91,11 +97,11 @@
         }
     }
 
-    /// Votes until told to stop.
+    /// Runs the voter until the thread is told to stop.
     ///
     /// # Errors
-    /// The disk does not take what has to be written.
-    fn vote(&mut self, mut store: Store, state: PersistentState) -> Result<(), StoreError> {
+    /// The state cannot be written to disk.
+    fn run_voter(&mut self, mut store: Store, state: PersistentState) -> Result<(), StoreError> {
         let voters: Vec<HostNumber> = self.plan.voters.iter().map(|v| v.host).collect();
         self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         let mut voter: Voter<Requester> =
@@ -106,13 +112,14 @@
             self.write_and_send(&mut voter, &mut store)?;
             if Instant::now() >= publish_at {
                 publish_at = Instant::now() + VIEW_INTERVAL;
-                self.shared.voter(|view| *view = VoterView::of(&voter, self.clock.now_ms()));
+                self.shared.update_voter(|view| *view = VoterView::new(&voter, self.clock.now_ms()));
             }
         }
         Ok(())
     }
 
-    /// Waits for events, at most until the voter has something to do, and hands them to it; false where it is to stop.
+    /// Waits for events until the voter's next deadline and passes them to it. Returns false if the thread is
+    /// to stop.
     fn handle_events(&self, voter: &mut Voter<Requester>) -> bool {
         let first = match self.events.recv_deadline(self.clock.instant(voter.next_deadline())) {
             Ok(event) => Some(event),
@@ -130,13 +137,14 @@
         true
     }
 
-    /// Writes and sends until the voter has nothing more to write or to send.
+    /// Writes and sends the voter's output until there is none left.
     fn write_and_send(&self, voter: &mut Voter<Requester>, store: &mut Store) -> Result<(), StoreError> {
         loop {
             let ready = voter.take_output();
             let writes = ready.raft.rewrite || !ready.raft.records.is_empty();
             let sends = !ready.raft.messages.is_empty() || !ready.responses.is_empty();
-            // Danger: a message that is sent before what it promises is on disk is a promise that a crash forgets.
+            // The write must come first: a crash after sending would lose a vote or an entry that another
+            // voter counts on.
             if ready.raft.rewrite {
                 store.rewrite(&voter.raft().persistent_state())?;
             } else if writes {
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -1,73 +1,82 @@
-//! A fleet in one process, and peers that mean it no good.
+//! A fleet of hosts in one process, and malformed or hostile peers.
 
 use pearfork_fleet::{
     frame, Demand, FaultInjection, Fleet, FleetError, FleetPlan, Portion, User, VoterAddress,
 };
-use pearfork_ledger::{Budget, Fraction, Hello, HostNumber, Kind, Message, Times, VERSION};
+use pearfork_ledger::{Budget, Fraction, Hello, HostNumber, Kind, Message, Times, PROTOCOL_VERSION};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn archive() -> Budget {
+fn archive_budget() -> Budget {
     Budget::new(Kind::Limit, "archive")
 }
 
-/// A user whose clients ask for what the test says.
+/// A consumer whose demand the test sets.
 #[derive(Clone, Default)]
-struct Clients {
-    asked: Arc<Mutex<f64>>,
-    has: Arc<Mutex<Option<Portion>>>,
+struct FakeConsumer {
+    demand: Arc<Mutex<f64>>,
+    share: Arc<Mutex<Option<Portion>>>,
 }
 
-impl User for Clients {
+impl User for FakeConsumer {
     fn demand(&mut self) -> Vec<Demand> {
-        let asked = Fraction::from_f64(*self.asked.lock().unwrap());
-        vec![Demand { budget: archive(), asked, least: Fraction::from_f64(0.01), turn: Duration::ZERO }]
+        let asked = Fraction::from_f64(*self.demand.lock().unwrap());
+        vec![Demand {
+            budget: archive_budget(),
+            asked,
+            least: Fraction::from_f64(0.01),
+            turn: Duration::ZERO,
+        }]
     }
 
     fn apply(&mut self, portions: &[Portion]) -> bool {
-        *self.has.lock().unwrap() = portions.iter().find(|p| p.budget == archive()).cloned();
+        *self.share.lock().unwrap() = portions.iter().find(|p| p.budget == archive_budget()).cloned();
         true
     }
 }
 
-impl Clients {
-    fn may_use(&self) -> f64 {
-        let has = self.has.lock().unwrap();
-        let lent = has.as_ref().filter(|p| Instant::now() < p.until).map_or(Fraction::ZERO, |p| p.lent);
+impl FakeConsumer {
+    fn usable(&self) -> f64 {
+        let share = self.share.lock().unwrap();
+        let lent = share.as_ref().filter(|p| Instant::now() < p.until).map_or(Fraction::ZERO, |p| p.lent);
         lent.as_f64()
     }
 }
 
-struct Scratch(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Scratch {
-    fn new(name: &str) -> Scratch {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("pearfork-peers-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        Scratch(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn plans(scratch: &Scratch, hosts: u16) -> Vec<FleetPlan> {
-    let held: Vec<TcpListener> = (0..3).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+fn plans(temp: &TempFolder, hosts: u16) -> Vec<FleetPlan> {
+    // All listeners stay open until each voter has a port, so that no two get the same one.
+    let listeners: Vec<TcpListener> = (0..3).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let voters: Vec<VoterAddress> = (0..3)
-        .map(|v| VoterAddress { host: HostNumber(v), address: held[usize::from(v)].local_addr().unwrap() })
+        .map(|v| VoterAddress {
+            host: HostNumber(v),
+            address: listeners[usize::from(v)].local_addr().unwrap(),
+        })
         .collect();
-    let plan = |me: u16| FleetPlan {
+    let plan = |host: u16| FleetPlan {
         name: "f".to_owned(),
-        me: HostNumber(me),
+        me: HostNumber(host),
         hosts: 8,
-        listen: voters.get(usize::from(me)).map(|v| v.address),
-        folder: (me < 3).then(|| scratch.0.join(me.to_string())),
+        listen: voters.get(usize::from(host)).map(|v| v.address),
+        folder: (host < 3).then(|| temp.0.join(host.to_string())),
         voters: voters.clone(),
         floors: Fraction::from_f64(0.02),
         times: Times::default(),
@@ -76,92 +85,93 @@
     (0..hosts).map(plan).collect()
 }
 
-fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + Duration::from_secs(20);
-    while !holds() {
-        assert!(Instant::now() < until, "never: {what}");
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !condition() {
+        assert!(Instant::now() < deadline, "not within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Kilobytes that this process holds.
-fn resident() -> u64 {
+/// Resident memory of this process, in KiB.
+fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
 #[test]
-fn a_part_follows_demand_goes_back_at_a_leave_and_bad_peers_change_nothing() {
-    let scratch = Scratch::new("bad");
-    let plans = plans(&scratch, 4);
-    let clients: Vec<Clients> = plans.iter().map(|_| Clients::default()).collect();
-    let fleets: Vec<Fleet> =
-        plans.iter().zip(&clients).map(|(p, c)| Fleet::start(p.clone(), c.clone()).unwrap()).collect();
-    *clients[3].asked.lock().unwrap() = 1.0;
-    eventually("the only one that asks has nearly all", || clients[3].may_use() > 0.9);
+fn shares_follow_demand_return_on_leave_and_resist_hostile_peers() {
+    let temp = TempFolder::new("bad");
+    let plans = plans(&temp, 4);
+    let consumers: Vec<FakeConsumer> = plans.iter().map(|_| FakeConsumer::default()).collect();
+    let members: Vec<Fleet> =
+        plans.iter().zip(&consumers).map(|(p, c)| Fleet::start(p.clone(), c.clone()).unwrap()).collect();
+    *consumers[3].demand.lock().unwrap() = 1.0;
+    wait_until("the only host with demand has nearly the whole budget", || consumers[3].usable() > 0.9);
     let address = plans[0].listen.unwrap();
-    bad_peers(address);
-    assert!(clients[3].may_use() > 0.9, "bad peers took nothing away");
-    *clients[1].asked.lock().unwrap() = 1.0;
-    eventually("two that ask have about half each", || {
-        (0.4..0.6).contains(&clients[1].may_use()) && (0.4..0.6).contains(&clients[3].may_use())
+    connect_hostile_peers(address);
+    assert!(consumers[3].usable() > 0.9, "hostile peers reduced a share");
+    *consumers[1].demand.lock().unwrap() = 1.0;
+    wait_until("two hosts with demand have about half each", || {
+        (0.4..0.6).contains(&consumers[1].usable()) && (0.4..0.6).contains(&consumers[3].usable())
     });
-    // What is given back is lent on at once: well before the lease would be over.
+    // A released share is granted to the other host at once, well before the lease would expire.
     let began = Instant::now();
-    fleets[3].leave();
-    assert_eq!(clients[3].may_use(), 0.0);
-    eventually("the one that is left has nearly all", || clients[1].may_use() > 0.9);
+    members[3].leave();
+    assert_eq!(consumers[3].usable(), 0.0);
+    wait_until("the remaining host has nearly the whole budget", || consumers[1].usable() > 0.9);
     assert!(began.elapsed() < Duration::from_millis(2_000), "{:?}", began.elapsed());
-    // The same folder is nobody else's.
-    let second = Fleet::start(FleetPlan { listen: Some(free()), ..plans[0].clone() }, Clients::default());
+    // A second process cannot use the same folder.
+    let second =
+        Fleet::start(FleetPlan { listen: Some(free_address()), ..plans[0].clone() }, FakeConsumer::default());
     assert!(matches!(second, Err(FleetError::Store(_))));
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
 fn hello(fleet: &str, version: u32, host: u16) -> Vec<u8> {
     let settings = "0".to_owned();
-    let mut out = Vec::new();
+    let mut bytes = Vec::new();
     let hello = Hello { version, fleet: fleet.to_owned(), settings, host: HostNumber(host) };
-    frame::put(&mut out, &Message::Hello(hello));
-    out
+    frame::encode(&mut bytes, &Message::Hello(hello));
+    bytes
 }
 
-/// What a peer is told before it is cut off.
-fn told(address: SocketAddr, says: &[u8]) -> String {
+/// Sends bytes and returns all that is received until the connection is closed.
+fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut socket = TcpStream::connect(address).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    let _ = socket.write_all(says);
-    let mut all = Vec::new();
-    let _ = socket.read_to_end(&mut all);
-    String::from_utf8_lossy(&all).into_owned()
+    let _ = socket.write_all(request);
+    let mut received = Vec::new();
+    let _ = socket.read_to_end(&mut received);
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-fn bad_peers(address: SocketAddr) {
-    let before = resident();
-    // A length of a gigabyte, and then as much as it will take.
-    let mut long = vec![0x40, 0, 0, 0, 1, 2, 3, 4];
-    long.resize(4 << 20, 7);
-    assert!(!told(address, &long).contains("hello"), "cut off");
-    assert!(told(address, b"GET / HTTP/1.1\r\n\r\n").is_empty());
-    let mut spoilt = hello("f", VERSION, 3);
-    let last = spoilt.len() - 1;
-    spoilt[last] ^= 1;
-    assert!(told(address, &spoilt).is_empty(), "a wrong checksum is no message");
-    assert!(told(address, &hello("g", VERSION, 3)).contains("this is fleet `f`, not `g`"));
-    assert!(told(address, &hello("f", VERSION + 1, 3)).contains("speaks version"));
-    assert!(told(address, &hello("f", VERSION, 3)).contains("settings differ"));
-    // Hundreds that connect and say nothing, and one that asks without end and never reads.
+fn connect_hostile_peers(address: SocketAddr) {
+    let before = resident_kib();
+    // A frame header that announces a gigabyte, followed by 4 MiB of data.
+    let mut oversized = vec![0x40, 0, 0, 0, 1, 2, 3, 4];
+    oversized.resize(4 << 20, 7);
+    assert!(!exchange(address, &oversized).contains("hello"), "an oversized frame closes the connection");
+    assert!(exchange(address, b"GET / HTTP/1.1\r\n\r\n").is_empty());
+    let mut corrupted = hello("f", PROTOCOL_VERSION, 3);
+    let last = corrupted.len() - 1;
+    corrupted[last] ^= 1;
+    assert!(exchange(address, &corrupted).is_empty(), "a frame with a wrong checksum gets no response");
+    assert!(exchange(address, &hello("g", PROTOCOL_VERSION, 3)).contains("this is fleet `f`, not `g`"));
+    assert!(exchange(address, &hello("f", PROTOCOL_VERSION + 1, 3)).contains("speaks protocol version"));
+    assert!(exchange(address, &hello("f", PROTOCOL_VERSION, 3)).contains("settings differ"));
+    // 60 peers that connect and send nothing, and one that sends continuously and never reads.
     let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(address).unwrap()).collect();
     let mut flood = TcpStream::connect(address).unwrap();
     flood.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
-    let one = hello("g", VERSION, 3);
+    let message = hello("g", PROTOCOL_VERSION, 3);
     let began = Instant::now();
-    while began.elapsed() < Duration::from_millis(500) && flood.write_all(&one).is_ok() {}
+    while began.elapsed() < Duration::from_millis(500) && flood.write_all(&message).is_ok() {}
     drop(silent);
-    let more = resident().saturating_sub(before);
-    assert!(more < 40_000, "{more} KiB more");
+    let growth_kib = resident_kib().saturating_sub(before);
+    assert!(growth_kib < 40_000, "resident memory grew by {growth_kib} KiB");
 }
--- a/crates/host/src/fleet.rs
+++ b/crates/host/src/fleet.rs
@@ -88,7 +88,7 @@
             let total = asked.get(l.volume.0 as usize).map_or(0, |a| a.load(Ordering::Relaxed));
             let units = total.wrapping_sub(l.seen) as f64 / 1_000.0;
             l.seen = total;
-            let asked = l.meter.count(now, units);
+            let asked = l.meter.record(now, units);
             [
                 Demand { budget: l.rate.clone(), asked, least: l.least_rate, turn: l.turn },
                 Demand { budget: l.burst.clone(), asked, least: l.least_burst, turn: l.turn },
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -1,4 +1,4 @@
-//! Names of hosts, processes and budgets.
+//! Identifiers of hosts, processes and budgets.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,32 +7,33 @@
 #[serde(transparent)]
 pub struct HostNumber(pub u16);
 
-/// One process of a host. The ledger gives the number when the process joins, and never again.
+/// Identifies one process of a host. The ledger assigns the number when the process joins and never reuses
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// What a budget limits.
+/// The resource that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// Rate of a volume with a limit (rule 7).
+    /// Rate limit of a volume (rule 7).
     Limit,
-    /// Burst of such a volume (rule 7). Apart from the rate: a host that sends now and then needs room for its largest
-    /// request, and hardly any of the rate.
+    /// Burst size of a volume with a rate limit (rule 7). It is separate from the rate because a host that
+    /// sends occasionally needs burst for its largest request, but hardly any of the rate.
     Burst,
-    /// Units that a cold node bears from all hosts (rule 4).
+    /// Units that all hosts together may send to a cold node (rule 4).
     Cold,
     /// Retries of all hosts (rule 6).
     Retry,
-    /// Connections at a node.
+    /// Connections of all hosts to a node.
     Connections,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Kind; 5] = [Kind::Limit, Kind::Burst, Kind::Cold, Kind::Retry, Kind::Connections];
 
-    /// The prefix of its budgets' names.
+    /// The prefix of the names of budgets of this kind.
     pub fn prefix(self) -> &'static str {
         match self {
             Kind::Limit => "limit",
@@ -44,24 +45,24 @@
     }
 }
 
-/// Names a budget: its kind, a slash, and the name of what it limits, as in `limit/archive`.
+/// The name of a budget: its kind, a slash, and the name of the limited resource, as in `limit/archive`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Budget(String);
 
 impl Budget {
-    /// The budget of a kind with this name.
+    /// The budget of this kind for the named resource.
     pub fn new(kind: Kind, name: &str) -> Budget {
         Budget(format!("{}/{name}", kind.prefix()))
     }
 
-    /// Its kind; none for a kind that only another release knows. Such a budget is divided like any other.
+    /// Its kind; none for a kind that this release does not know. Such a budget is divided like any other.
     pub fn kind(&self) -> Option<Kind> {
         let prefix = self.0.split('/').next()?;
         Kind::ALL.into_iter().find(|k| k.prefix() == prefix)
     }
 
-    /// The name of what it limits.
+    /// The name of the limited resource.
     pub fn name(&self) -> &str {
         self.0.split_once('/').map_or(&self.0, |(_, name)| name)
     }
--- a/crates/ledger/src/divide.rs
+++ b/crates/ledger/src/divide.rs
@@ -1,80 +1,84 @@
-//! Division of a budget among the processes that want some of it.
+//! Divides a budget among the processes that request a fraction of it.
 
 use crate::budget::Incarnation;
 use crate::fraction::Fraction;
 
-/// What one process claims of a budget.
+/// The claim of one process to a budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     /// The process.
-    pub who: Incarnation,
-    /// The demand of its clients of late; more than the whole counts as the whole.
+    pub incarnation: Incarnation,
+    /// Recent demand of its clients; more than the whole counts as the whole.
     pub demand: Fraction,
-    /// The least fraction that holds its largest request: less is of no use to it.
-    pub least: Fraction,
-    /// How long it has to hold that for a request to come of it, milliseconds.
+    /// Smallest useful fraction: the one that admits its largest request.
+    pub min_fraction: Fraction,
+    /// How long it has to hold that fraction before it can send a request, in milliseconds.
     pub turn_ms: f64,
-    /// What it holds now.
+    /// The fraction that is allocated to it now.
     pub held: Fraction,
-    /// Since when it has held some, or has been waiting for some, milliseconds.
+    /// When it began to hold a fraction or, if it holds none, to wait for one, in milliseconds.
     pub since_ms: f64,
 }
 
-/// What is left for the next process that wants some, as a fraction of what there is: it begins with this, until the
-/// others have come down.
+/// Part of the lendable fraction that stays unallocated. The next process that requests a fraction gets it at
+/// once, until the other holders have reduced theirs.
 const RESERVE: f64 = 0.01;
-/// Demand is met with so much to spare: what comes next is seldom less than what came.
+/// Factor by which a target exceeds the demand, because demand rarely falls from one interval to the next.
 const HEADROOM: f64 = 1.25;
-/// Where not all can hold a request at once, those that do keep their turn for so long at least, milliseconds.
+/// Shortest turn, in milliseconds, where the claims have to take turns because not all minimum fractions fit
+/// at once.
 const MIN_TURN_MS: f64 = 1_000.0;
-/// A fraction is not lowered by less than this fraction of itself.
+/// Smallest decrease that is made, relative to the target.
 const MIN_DECREASE: f64 = 0.1;
-/// Nor raised by less than this fraction of the whole, ...
+/// Smallest increase that is made, relative to the whole, ...
 const MIN_INCREASE_OF_WHOLE: f64 = 0.005;
-/// ... or of itself where that is less. Danger: where hundreds hold some, what is little of the whole is all that one of
-/// them has.
+/// ... or relative to the target if that is less. With hundreds of holders, a small fraction of the whole is
+/// all that one of them has.
 const MIN_INCREASE_OF_TARGET: f64 = 0.03;
 
-/// Targets in the order of the claims. They add up to no more than `lendable`; a claim without demand gets nothing.
+/// Computes the target of each claim, in the order of the claims. The targets add up to at most `lendable`; a
+/// claim without demand gets nothing.
 ///
-/// Each gets its demand with headroom, the smallest demands first and none less than its least. What is left is
-/// distributed in proportion; where it does not suffice, the larger demands share evenly. Where not even the least
-/// fractions of all fit, as many as fit take turns.
+/// Each claim gets its demand plus headroom, smallest demand first, and at least its minimum fraction. What
+/// remains is distributed in proportion to the targets. Where there is too little, the larger demands get
+/// equal shares. Where not even all minimum fractions fit, as many claims as fit get theirs, and the claims
+/// take turns.
 pub fn divide(lendable: Fraction, claims: &[Claim], now: f64) -> Vec<Fraction> {
     let reserve = Fraction::from_f64(lendable.as_f64() * RESERVE);
     let division = Division { claims, whole: lendable.saturating_sub(reserve) };
     let mut targets = vec![Fraction::ZERO; claims.len()];
-    let mut served = division.served(now);
+    let mut served = division.select_claims(now);
     let spare = division.fill_demands(&mut served, &mut targets);
     distribute(spare, &served, &mut targets);
-    division.keep_small_changes(&mut targets);
+    division.suppress_small_changes(&mut targets);
     targets
 }
 
-/// One division. Claims are named by their place.
+/// One division of a budget. Claims are referred to by their index.
 struct Division<'a> {
     claims: &'a [Claim],
-    /// What there is to divide.
+    /// The fraction to divide: the lendable fraction less the reserve.
     whole: Fraction,
 }
 
 impl Division<'_> {
-    /// The least fraction that is of use. Danger: one above all that there is would let nobody have any.
-    fn least(&self, claim: usize) -> Fraction {
-        self.claims[claim].least.min(self.whole).max(Fraction(1))
+    /// The minimum fraction of a claim, capped at the whole: a larger minimum could never be met, and the
+    /// claim would get nothing.
+    fn min_fraction(&self, claim: usize) -> Fraction {
+        self.claims[claim].min_fraction.min(self.whole).max(Fraction(1))
     }
 
-    /// What meets the demand.
-    fn wanted(&self, claim: usize) -> Fraction {
+    /// The fraction that meets the demand with headroom.
+    fn desired(&self, claim: usize) -> Fraction {
         let demand = self.claims[claim].demand.as_f64().min(1.0) * HEADROOM;
-        Fraction::from_f64(demand).max(self.least(claim)).min(self.whole)
+        Fraction::from_f64(demand).max(self.min_fraction(claim)).min(self.whole)
     }
 
-    /// The claims that get some: all with demand, or as many of them as fit.
-    fn served(&self, now: f64) -> Vec<usize> {
+    /// The claims that get a fraction: all with demand, or as many of them as fit.
+    fn select_claims(&self, now: f64) -> Vec<usize> {
         let has_demand = |claim: &usize| self.claims[*claim].demand > Fraction::ZERO;
         let mut served: Vec<usize> = (0..self.claims.len()).filter(has_demand).collect();
-        let needed: Fraction = served.iter().map(|claim| self.least(*claim)).sum();
+        let needed: Fraction = served.iter().map(|claim| self.min_fraction(*claim)).sum();
         if needed <= self.whole {
             return served;
         }
@@ -84,48 +88,49 @@
                 a.since_ms.total_cmp(&b.since_ms)
             })
         });
-        let mut left = self.whole;
+        let mut remaining = self.whole;
         served.retain(|claim| {
-            let fits = self.least(*claim) <= left;
+            let fits = self.min_fraction(*claim) <= remaining;
             if fits {
-                left = left.saturating_sub(self.least(*claim));
+                remaining = remaining.saturating_sub(self.min_fraction(*claim));
             }
             fits
         });
         served
     }
 
-    /// Those in their turn come first, then those that wait, and those whose turn is over last.
+    /// Sort key: claims within their turn come first, then those that wait, then those whose turn is over.
     fn turn_order(&self, claim: usize, now: f64) -> (bool, bool) {
         let c = &self.claims[claim];
-        let in_turn = c.held >= self.least(claim) && now - c.since_ms < c.turn_ms.max(MIN_TURN_MS);
+        let in_turn = c.held >= self.min_fraction(claim) && now - c.since_ms < c.turn_ms.max(MIN_TURN_MS);
         let holds_some = c.held > Fraction::ZERO;
         (!in_turn, !in_turn && holds_some)
     }
 
-    /// Meets demands, the smallest first, and shares evenly among the others what does not suffice; what is left over.
+    /// Meets the demands, smallest first, and divides the rest equally where it is too little. Returns the
+    /// remainder.
     fn fill_demands(&self, served: &mut [usize], targets: &mut [Fraction]) -> Fraction {
-        served.sort_by_key(|claim| (self.wanted(*claim), self.claims[*claim].who));
-        let mut left = self.whole;
-        // What those that follow need at least.
-        let mut reserved: Fraction = served.iter().map(|claim| self.least(*claim)).sum();
+        served.sort_by_key(|claim| (self.desired(*claim), self.claims[*claim].incarnation));
+        let mut remaining = self.whole;
+        // The sum of the minimum fractions of the claims that follow.
+        let mut reserved: Fraction = served.iter().map(|claim| self.min_fraction(*claim)).sum();
         for (n, claim) in served.iter().enumerate() {
-            let least = self.least(*claim);
-            reserved = reserved.saturating_sub(least);
-            let even_share = Fraction(left.0 / (served.len() - n) as u64);
-            let target = self.wanted(*claim).min(even_share.max(least));
-            targets[*claim] = target.min(left.saturating_sub(reserved));
-            left = left.saturating_sub(targets[*claim]);
+            let min_fraction = self.min_fraction(*claim);
+            reserved = reserved.saturating_sub(min_fraction);
+            let equal_share = Fraction(remaining.0 / (served.len() - n) as u64);
+            let target = self.desired(*claim).min(equal_share.max(min_fraction));
+            targets[*claim] = target.min(remaining.saturating_sub(reserved));
+            remaining = remaining.saturating_sub(targets[*claim]);
         }
-        left
+        remaining
     }
 
-    /// Leaves alone what would hardly change, where that still adds up.
-    fn keep_small_changes(&self, targets: &mut [Fraction]) {
+    /// Replaces a target by the held fraction where the change would be small and the sum still fits.
+    fn suppress_small_changes(&self, targets: &mut [Fraction]) {
         let mut total: Fraction = targets.iter().copied().sum();
         for (claim, target) in self.claims.iter().zip(targets.iter_mut()) {
             let with_held = total.saturating_sub(*target).saturating_add(claim.held);
-            let is_useful = claim.held >= claim.least.min(self.whole);
+            let is_useful = claim.held >= claim.min_fraction.min(self.whole);
             let is_small = (claim.held.0.abs_diff(target.0) as f64) < self.min_change(claim, *target);
             if *target > Fraction::ZERO && is_useful && is_small && with_held <= self.whole {
                 (total, *target) = (with_held, claim.held);
@@ -133,8 +138,9 @@
         }
     }
 
-    /// The least change that is made, in billionths. What is left free for steadiness is lost; what is left with its
-    /// holder is not.
+    /// The smallest change that is made, in billionths. The threshold for an increase is lower than that for
+    /// a decrease: a suppressed increase leaves capacity unused, a suppressed decrease leaves it with its
+    /// holder.
     fn min_change(&self, claim: &Claim, target: Fraction) -> f64 {
         if target > claim.held {
             let of_whole = MIN_INCREASE_OF_WHOLE * self.whole.0 as f64;
@@ -145,18 +151,18 @@
     }
 }
 
-/// Adds what is spare to the targets, in proportion to them.
+/// Distributes the remainder over the targets, in proportion to them.
 fn distribute(spare: Fraction, served: &[usize], targets: &mut [Fraction]) {
     let total: f64 = served.iter().map(|claim| targets[*claim].as_f64()).sum();
     if total <= 0.0 {
         return;
     }
-    let mut left = spare;
+    let mut remaining = spare;
     for claim in served {
         let share = spare.as_f64() * targets[*claim].as_f64() / total;
-        let more = Fraction::from_f64(share).min(left);
-        targets[*claim] = targets[*claim].saturating_add(more);
-        left = left.saturating_sub(more);
+        let increase = Fraction::from_f64(share).min(remaining);
+        targets[*claim] = targets[*claim].saturating_add(increase);
+        remaining = remaining.saturating_sub(increase);
     }
 }
 
@@ -166,62 +172,67 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    fn claim(who: u64, demand: f64, least: f64) -> Claim {
-        let (demand, least) = (Fraction::from_f64(demand), Fraction::from_f64(least));
+    fn claim(incarnation: u64, demand: f64, min_fraction: f64) -> Claim {
+        let (demand, min_fraction) = (Fraction::from_f64(demand), Fraction::from_f64(min_fraction));
         Claim {
-            who: Incarnation(who),
+            incarnation: Incarnation(incarnation),
             demand,
-            least,
+            min_fraction,
             turn_ms: 0.0,
             held: Fraction::ZERO,
-            since_ms: who as f64,
+            since_ms: incarnation as f64,
         }
     }
 
     fn fractions(claims: &[Claim]) -> Vec<f64> {
         divide(Fraction::WHOLE, claims, 10.0)
             .iter()
-            .map(|p| (p.as_f64() * 1_000.0).round() / 1_000.0)
+            .map(|target| (target.as_f64() * 1_000.0).round() / 1_000.0)
             .collect()
     }
 
     #[test]
-    fn one_that_asks_alone_has_all_but_the_reserve() {
+    fn a_single_claim_with_demand_gets_all_but_the_reserve() {
         let claims = [claim(1, 0.0, 0.1), claim(2, 0.3, 0.1), claim(3, 0.0, 0.1)];
         assert_eq!(fractions(&claims), [0.0, 0.99, 0.0]);
     }
 
     #[test]
-    fn small_demands_are_met_and_large_ones_share_the_rest() {
+    fn small_demands_are_met_and_large_ones_get_equal_shares_of_the_rest() {
         let claims = [claim(1, 0.1, 0.01), claim(2, 5.0, 0.01), claim(3, 9.0, 0.01)];
-        let got = fractions(&claims);
-        assert!((got[0] - 0.125).abs() < 0.01 && (got[1] - got[2]).abs() < 0.001 && got[1] > 0.4, "{got:?}");
+        let targets = fractions(&claims);
+        assert!(
+            (targets[0] - 0.125).abs() < 0.01 && (targets[1] - targets[2]).abs() < 0.001 && targets[1] > 0.4,
+            "{targets:?}"
+        );
     }
 
-    /// A limit of a few units a second over forty hosts: each still gets what holds a request, in its turn.
+    /// Forty hosts share a limit that admits two requests at a time: each host gets its minimum fraction in
+    /// turn.
     #[test]
-    fn where_not_all_can_hold_a_request_they_take_turns() {
+    fn claims_take_turns_where_not_all_minimum_fractions_fit() {
         let mut claims: Vec<Claim> = (0..40).map(|i| claim(i, 0.5, 0.4)).collect();
-        let mut had = std::collections::BTreeSet::new();
+        let mut served = std::collections::BTreeSet::new();
         for step in 0..60 {
             let now = f64::from(step) * 500.0;
             let targets = divide(Fraction::WHOLE, &claims, now);
-            let with: Vec<usize> = (0..40).filter(|i| targets[*i] > Fraction::ZERO).collect();
-            assert_eq!(with.len(), 2, "at {now}");
+            let served_now: Vec<usize> = (0..40).filter(|i| targets[*i] > Fraction::ZERO).collect();
+            assert_eq!(served_now.len(), 2, "at {now}");
             for (i, claim) in claims.iter_mut().enumerate() {
                 if (claim.held > Fraction::ZERO) != (targets[i] > Fraction::ZERO) {
                     claim.since_ms = now;
                 }
                 claim.held = targets[i];
             }
-            had.extend(with);
+            served.extend(served_now);
         }
-        assert_eq!(had.len(), 40, "nobody is starved");
+        assert_eq!(served.len(), 40, "no claim is starved");
     }
 
-    /// Half of four hundred are gone: what they had is little for each of the others, and all of it together.
+    /// Half of 400 hosts have failed: their capacity is small for each survivor, but half of the whole in
+    /// total. A threshold relative to the whole alone would suppress every increase.
     #[test]
-    fn many_with_little_each_get_what_is_free() {
+    fn many_small_holders_get_the_capacity_of_failed_ones() {
         let held = Fraction::from_f64(0.0025);
         let claims: Vec<Claim> = (0..200).map(|i| Claim { held, ..claim(i, 0.0025, 0.0001) }).collect();
         let all: Fraction = divide(Fraction::WHOLE, &claims, 10.0).into_iter().sum();
@@ -229,19 +240,19 @@
     }
 
     #[test]
-    fn a_request_larger_than_the_whole_still_gets_it_all() {
+    fn a_minimum_above_the_whole_still_gets_the_whole() {
         assert_eq!(fractions(&[claim(1, 0.1, 7.0)]), [0.99]);
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::with_cases(500) })]
         #[test]
-        fn parts_add_up_and_each_is_of_use_or_nothing(
+        fn targets_fit_and_each_is_zero_or_at_least_its_minimum(
             lendable in 0.0f64..1.0,
-            lines in prop::collection::vec((0.0f64..3.0, 0.0f64..0.7, 0.0f64..0.2, 0.0f64..9_000.0), 0..50),
+            inputs in prop::collection::vec((0.0f64..3.0, 0.0f64..0.7, 0.0f64..0.2, 0.0f64..9_000.0), 0..50),
         ) {
-            let claims: Vec<Claim> = lines.iter().enumerate().map(|(i, (demand, least, held, since))| Claim {
-                held: Fraction::from_f64(*held), since_ms: *since, ..claim(i as u64, *demand, *least)
+            let claims: Vec<Claim> = inputs.iter().enumerate().map(|(i, (demand, min_fraction, held, since))| Claim {
+                held: Fraction::from_f64(*held), since_ms: *since, ..claim(i as u64, *demand, *min_fraction)
             }).collect();
             let lendable = Fraction::from_f64(lendable);
             let targets = divide(lendable, &claims, 9_000.0);
@@ -249,11 +260,11 @@
             prop_assert!(all <= lendable, "{all} of {lendable}");
             let whole = lendable.saturating_sub(Fraction::from_f64(lendable.as_f64() * RESERVE));
             for (c, t) in claims.iter().zip(&targets) {
-                prop_assert!(*t == Fraction::ZERO || *t >= c.least.min(whole), "{t} of {c:?}");
+                prop_assert!(*t == Fraction::ZERO || *t >= c.min_fraction.min(whole), "{t} of {c:?}");
                 prop_assert!(c.demand > Fraction::ZERO || *t == Fraction::ZERO);
             }
-            let asked = claims.iter().any(|c| c.demand > Fraction::ZERO) && whole > Fraction::ZERO;
-            prop_assert_eq!(asked, all > Fraction::ZERO, "someone is always served");
+            let has_demand = claims.iter().any(|c| c.demand > Fraction::ZERO) && whole > Fraction::ZERO;
+            prop_assert_eq!(has_demand, all > Fraction::ZERO, "some claim is always served");
         }
     }
 }
--- a/crates/ledger/src/fraction.rs
+++ b/crates/ledger/src/fraction.rs
@@ -2,32 +2,33 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A fraction of a whole, in billionths: integers, so that sums are exact.
+/// A fraction of a budget, in billionths of the whole. An integer, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fraction(pub u64);
 
-/// The largest fraction that [`Fraction::from_f64`] gives, in wholes.
-const MAX_WHOLES: f64 = 1_000.0;
+/// Upper bound of [`Fraction::from_f64`], in multiples of the whole.
+const MAX_FROM_F64: f64 = 1_000.0;
 
 impl Fraction {
-    /// All of it.
+    /// The whole budget.
     pub const WHOLE: Fraction = Fraction(1_000_000_000);
-    /// Nothing.
+    /// Nothing of the budget.
     pub const ZERO: Fraction = Fraction(0);
 
-    /// From a number, rounded down. NaN and what is below 0 are zero, and nothing exceeds 1,000 wholes.
+    /// Converts a number, rounding down. NaN and negative numbers become zero; the result is at most 1,000
+    /// wholes.
     pub fn from_f64(fraction: f64) -> Fraction {
-        // A cast from a float saturates, and takes NaN for 0.
-        Fraction((fraction.min(MAX_WHOLES) * Fraction::WHOLE.0 as f64) as u64)
+        // `as u64` saturates and turns NaN into 0.
+        Fraction((fraction.min(MAX_FROM_F64) * Fraction::WHOLE.0 as f64) as u64)
     }
 
-    /// As a number, 1 for the whole.
+    /// As a number; the whole is 1.
     pub fn as_f64(self) -> f64 {
         self.0 as f64 / Fraction::WHOLE.0 as f64
     }
 
-    /// Sum, at most what the type holds.
+    /// Sum, capped at the maximum of the type.
     pub fn saturating_add(self, other: Fraction) -> Fraction {
         Fraction(self.0.saturating_add(other.0))
     }
--- a/crates/ledger/src/holder.rs
+++ b/crates/ledger/src/holder.rs
@@ -1,4 +1,4 @@
-//! A host's side of leases: what it may use now, and what it requests of the ledger.
+//! The lease holder: what a host may use now, and what it requests from the ledger.
 
 use crate::budget::{Budget, HostNumber, Incarnation};
 use crate::fraction::Fraction;
@@ -10,126 +10,130 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a host may use of a budget beyond its floor.
+/// The fraction of a budget that a host may use beyond its floor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Held {
-    /// How much.
+    /// The leased fraction.
     pub fraction: Fraction,
-    /// When the lease expires, by the holder's clock. From then on nothing of it may be used.
-    pub until_ms: f64,
+    /// When the lease expires, on the holder's clock. From then on the fraction must not be used.
+    pub expires_at: f64,
 }
 
-/// What the holder keeps of one budget.
+/// State of one budget at the holder.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct HeldBudget {
     demand: Fraction,
-    least: Fraction,
+    min_fraction: Fraction,
     turn_ms: u32,
-    /// What may be used: the last grant, less what it came down by since.
+    /// The fraction that may be used: the last grant, reduced to the targets received since.
     current: Allocation,
-    /// What the user of the budget has confirmed to go by, and may be declared to the ledger.
+    /// The allocation that the consumer of the budget has confirmed to observe. Only this may be declared to
+    /// the ledger.
     confirmed: Option<Allocation>,
-    /// What requests say of it.
-    said: Said,
-    /// The first request that said so.
-    said_seq: u64,
+    /// The last report on this budget in a request.
+    reported: BudgetReport,
+    /// Sequence number of the first request with that report.
+    reported_seq: u64,
 }
 
-/// What a request says of one budget.
+/// What a request reports on one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Said {
+struct BudgetReport {
     demand: Fraction,
-    least: Fraction,
+    min_fraction: Fraction,
     turn_ms: u32,
     using: Fraction,
     version: u64,
 }
 
-impl Said {
-    /// Whether this is worth saying after `earlier`. Demand that hardly moved is not: it is met with more than that to spare.
-    fn is_news_after(&self, earlier: &Said) -> bool {
+impl BudgetReport {
+    /// Whether this report has to be sent after `earlier`. A small change of demand need not be: the ledger's
+    /// headroom is larger.
+    fn is_significant_change(&self, earlier: &BudgetReport) -> bool {
         let (new, old) = (self.demand.0, earlier.demand.0);
         let is_small = new.abs_diff(old) as f64 <= DEMAND_HYSTERESIS * old as f64;
         let is_same_side = (new == 0) == (old == 0);
-        !(is_small && is_same_side) || Said { demand: earlier.demand, ..*self } != *earlier
+        !(is_small && is_same_side) || BudgetReport { demand: earlier.demand, ..*self } != *earlier
     }
 
-    /// Nothing is wanted, and nothing was granted: a ledger that never hears of it knows as much.
+    /// Nothing is requested and nothing was granted: leaving the report out tells the ledger as much.
     fn is_empty(&self) -> bool {
         self.demand == Fraction::ZERO && self.version == 0
     }
 }
 
 impl HeldBudget {
-    fn present(&self) -> Said {
-        // What was confirmed under the present version. Version 0 declares nothing: no allocation has it.
+    fn report(&self) -> BudgetReport {
+        // Only what was confirmed under the current version is declared. Version 0 declares nothing: no
+        // allocation has it.
         let undeclared = Allocation { version: 0, ..self.current };
         let declared = self.confirmed.filter(|c| c.version == self.current.version).unwrap_or(undeclared);
-        Said {
+        BudgetReport {
             demand: self.demand,
-            least: self.least,
+            min_fraction: self.min_fraction,
             turn_ms: self.turn_ms,
             using: declared.fraction,
             version: declared.version,
         }
     }
 
-    /// Brings what is said up to date with a request of this number.
-    fn update_said(&mut self, seq: u64) {
-        let present = self.present();
-        if present.is_news_after(&self.said) {
-            (self.said, self.said_seq) = (present, seq);
+    /// Updates the report for the request with this sequence number.
+    fn update_report(&mut self, seq: u64) {
+        let report = self.report();
+        if report.is_significant_change(&self.reported) {
+            (self.reported, self.reported_seq) = (report, seq);
         }
     }
 
     fn request(&self, budget: &Budget) -> BudgetRequest {
-        let Said { demand, least, turn_ms, using, version } = self.said;
-        BudgetRequest { budget: budget.clone(), demand, least, turn_ms, using, version }
+        let BudgetReport { demand, min_fraction, turn_ms, using, version } = self.reported;
+        BudgetRequest { budget: budget.clone(), demand, min_fraction, turn_ms, using, version }
     }
 
-    /// Whether a request has to say something of it.
-    fn has_to_be_said(&self, base: Option<RenewalBase>) -> bool {
+    /// Whether a request with this base has to include the budget.
+    fn must_be_reported(&self, base: Option<RenewalBase>) -> bool {
         match base {
-            Some(base) => self.said_seq > base.seq,
-            // Danger: what is held or was granted is said even where it is not wanted, or it would never come back.
-            None => !self.said.is_empty() || self.current.version > 0,
+            Some(base) => self.reported_seq > base.seq,
+            // A granted allocation is reported even without demand; otherwise it would never be released.
+            None => !self.reported.is_empty() || self.current.version > 0,
         }
     }
 
     fn apply(&mut self, grant: &Grant) {
-        let wanted = self.demand > Fraction::ZERO || self.current.fraction > Fraction::ZERO;
+        let is_needed = self.demand > Fraction::ZERO || self.current.fraction > Fraction::ZERO;
         match grant.version.cmp(&self.current.version) {
             Ordering::Greater => {
-                // A grant that is not wanted is given back with the next request.
-                let fraction = if wanted { grant.fraction.min(grant.target) } else { Fraction::ZERO };
+                // A grant that is no longer needed is released with the next request.
+                let fraction = if is_needed { grant.fraction.min(grant.target) } else { Fraction::ZERO };
                 self.current = Allocation { fraction, version: grant.version };
             }
-            // Danger: under one version a fraction only comes down; what was declared once is never exceeded.
+            // Under one version the fraction only decreases: the leader may already have reallocated what an
+            // earlier request declared unused.
             Ordering::Equal => self.current.fraction = self.current.fraction.min(grant.target),
             Ordering::Less => {}
         }
     }
 }
 
-/// Status of a holder, for status pages.
+/// Status of a holder, for monitoring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HolderState {
-    /// The number that the ledger gave this process.
+    /// Incarnation of this process; none until the ledger has assigned one.
     pub incarnation: Option<Incarnation>,
-    /// When its lease expires; minus infinity where it never had one.
-    pub until_ms: f64,
-    /// A later process has its host's number.
+    /// When its lease expires; negative infinity if it has none.
+    pub expires_at: f64,
+    /// A later process has joined under the same host number.
     pub superseded: bool,
 }
 
-/// A request without a response.
+/// A request that has no response yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Unanswered {
+struct PendingRequest {
     seq: u64,
     sent_at: f64,
 }
 
-/// One process's lease.
+/// The lease of one process.
 #[derive(Clone, Debug)]
 pub struct Holder {
     host: HostNumber,
@@ -137,26 +141,26 @@
     times: Times,
     incarnation: Option<Incarnation>,
     budgets: BTreeMap<Budget, HeldBudget>,
-    /// Number of the last request.
+    /// Sequence number of the last request.
     seq: u64,
-    unanswered: VecDeque<Unanswered>,
-    /// Number of the last request that got a lease.
-    answered: u64,
-    /// What the next request tells the changes since.
+    pending: VecDeque<PendingRequest>,
+    /// Sequence number of the last request that was granted a lease.
+    last_granted_seq: u64,
+    /// Base of the next request; none if it has to be a full one.
     base: Option<RenewalBase>,
     expires_at: f64,
     superseded: bool,
     leaving: bool,
 }
 
-/// Demand that moves by no more than this fraction of itself is not said anew. Danger: the ledger meets demand with a quarter
-/// to spare; with more than that here, a host would be short of what it needs.
+/// Changes of demand up to this fraction of the reported demand are not reported. It has to stay below the
+/// headroom of a quarter with which the ledger meets demand, or a host would get less than it needs.
 const DEMAND_HYSTERESIS: f64 = 0.1;
-/// Unanswered requests that are remembered. Responses to older ones come too late in any case.
-const MAX_UNANSWERED: usize = 64;
+/// Number of pending requests that are kept. Responses to older ones arrive too late to be of use.
+const MAX_PENDING_REQUESTS: usize = 64;
 
 impl Holder {
-    /// A process that joins under a number that it drew and no other has.
+    /// The holder of a process that joins under this random number.
     pub fn new(host: HostNumber, nonce: u64, times: Times) -> Holder {
         Holder {
             host,
@@ -165,8 +169,8 @@
             incarnation: None,
             budgets: BTreeMap::new(),
             seq: 0,
-            unanswered: VecDeque::new(),
-            answered: 0,
+            pending: VecDeque::new(),
+            last_granted_seq: 0,
             base: None,
             expires_at: f64::NEG_INFINITY,
             superseded: false,
@@ -174,46 +178,52 @@
         }
     }
 
-    /// Its status.
+    /// The current status.
     pub fn state(&self) -> HolderState {
-        HolderState { incarnation: self.incarnation, until_ms: self.expires_at, superseded: self.superseded }
+        HolderState {
+            incarnation: self.incarnation,
+            expires_at: self.expires_at,
+            superseded: self.superseded,
+        }
     }
 
-    /// Sets the demand of this host's clients for a budget, the least fraction that is of use to them, and how long that
-    /// has to be held for it, milliseconds.
-    pub fn set_demand(&mut self, budget: &Budget, demand: Fraction, least: Fraction, turn_ms: u32) {
+    /// Sets the demand of this host's clients for a budget, the smallest fraction that is useful to them, and
+    /// how long that fraction has to be held, in milliseconds.
+    pub fn set_demand(&mut self, budget: &Budget, demand: Fraction, min_fraction: Fraction, turn_ms: u32) {
         let held = self.budgets.entry(budget.clone()).or_default();
-        (held.demand, held.least, held.turn_ms) = (demand, least, turn_ms);
+        (held.demand, held.min_fraction, held.turn_ms) = (demand, min_fraction, turn_ms);
     }
 
     /// What may be used of a budget beyond the floor, and until when.
     pub fn held(&self, budget: &Budget) -> Held {
         let fraction = self.budgets.get(budget).map_or(Fraction::ZERO, |b| b.current.fraction);
-        Held { fraction, until_ms: self.expires_at }
+        Held { fraction, expires_at: self.expires_at }
     }
 
-    /// The same of all budgets.
+    /// What may be used of each budget beyond the floor, and until when.
     pub fn all_held(&self) -> impl Iterator<Item = (&Budget, Held)> {
-        let until_ms = self.expires_at;
-        self.budgets.iter().map(move |(b, held)| (b, Held { fraction: held.current.fraction, until_ms }))
+        let expires_at = self.expires_at;
+        self.budgets.iter().map(move |(b, held)| (b, Held { fraction: held.current.fraction, expires_at }))
     }
 
-    /// The user of the budget confirms that it goes by this allocation now: only that can be declared to the ledger.
+    /// Records that the consumer of the budget now observes this allocation, so that it may be declared to
+    /// the ledger.
     ///
-    /// Danger: a fraction that was lowered here, but not yet by whoever sends, would be lent to another host.
+    /// Declaring a lower fraction before the consumer observes it would let the ledger allocate the
+    /// difference to another host while it is still in use here.
     pub fn confirm(&mut self, budget: &Budget, allocation: Allocation) {
         if let Some(held) = self.budgets.get_mut(budget).filter(|held| held.current == allocation) {
             held.confirmed = Some(allocation);
         }
     }
 
-    /// Allocations to go by from now on that were not confirmed yet.
+    /// Current allocations that the consumer has not confirmed yet.
     pub fn unconfirmed(&self) -> Vec<(Budget, Allocation)> {
         let unconfirmed = self.budgets.iter().filter(|(_, held)| held.confirmed != Some(held.current));
         unconfirmed.map(|(budget, held)| (budget.clone(), held.current)).collect()
     }
 
-    /// The process leaves: from now on it requests nothing, and may use nothing beyond its floors.
+    /// The process leaves: from now on it requests no lease and may use nothing beyond its floors.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.drop_lease();
@@ -225,24 +235,26 @@
         self.budgets.values_mut().for_each(|held| held.current = Allocation::NONE);
     }
 
-    /// Whether it sends requests. A process that was superseded does not: the two would take the host's number from each
-    /// other without end.
+    /// Whether to send requests. A superseded process must not: the two processes would take the host number
+    /// from each other forever.
     pub fn should_request(&self) -> bool {
         !self.superseded
     }
 
-    /// The next request, sent now. Danger: the lease is counted from here, before the request is sent; a process that is
-    /// stopped between sending it and reading the response has used that time up.
+    /// Builds the next request, which is to be sent now.
+    ///
+    /// The lease is counted from this moment, before the request is sent: time that passes until the response
+    /// is read, as when the process is stopped in between, shortens the lease at the holder.
     pub fn next_request(&mut self, now: f64) -> LeaseRequest {
         self.seq += 1;
-        self.unanswered.push_back(Unanswered { seq: self.seq, sent_at: now });
-        if self.unanswered.len() > MAX_UNANSWERED {
-            self.unanswered.pop_front();
+        self.pending.push_back(PendingRequest { seq: self.seq, sent_at: now });
+        if self.pending.len() > MAX_PENDING_REQUESTS {
+            self.pending.pop_front();
         }
         let seq = self.seq;
-        self.budgets.values_mut().for_each(|held| held.update_said(seq));
-        let to_say = self.budgets.iter().filter(|(_, held)| held.has_to_be_said(self.base));
-        let requests = to_say.map(|(budget, held)| held.request(budget)).collect();
+        self.budgets.values_mut().for_each(|held| held.update_report(seq));
+        let to_report = self.budgets.iter().filter(|(_, held)| held.must_be_reported(self.base));
+        let requests = to_report.map(|(budget, held)| held.request(budget)).collect();
         LeaseRequest {
             host: self.host,
             nonce: self.nonce,
@@ -254,18 +266,18 @@
         }
     }
 
-    /// Handles a response. True where there may be something to confirm.
+    /// Handles a response. Returns whether there may be allocations to confirm.
     pub fn handle_response(&mut self, now: f64, response: &LeaseResponse) -> bool {
-        let Some(request) = self.unanswered.iter().copied().find(|u| u.seq == response.seq) else {
+        let Some(request) = self.pending.iter().copied().find(|p| p.seq == response.seq) else {
             return false;
         };
-        // Danger: a response that was overtaken tells of a table that has changed since.
-        if response.nonce != self.nonce || response.seq <= self.answered || self.leaving {
+        // A response that arrives after the one to a later request describes an outdated table.
+        if response.nonce != self.nonce || response.seq <= self.last_granted_seq || self.leaving {
             return false;
         }
         match &response.outcome {
             LeaseOutcome::Lease(lease) => {
-                if !self.follows(lease) {
+                if !self.is_applicable(lease) {
                     return false;
                 }
                 self.handle_lease(request.seq, lease);
@@ -273,7 +285,7 @@
                 now < self.expires_at
             }
             LeaseOutcome::Refused(Refusal::Unknown) => {
-                // The lease expired for the leader, and so it did here: the leader waited longer.
+                // The lease expired at the leader, and so it has expired here: the leader waits longer.
                 self.incarnation = None;
                 self.drop_lease();
                 true
@@ -291,9 +303,10 @@
         }
     }
 
-    /// Whether what a lease tells can be added to what is known. Danger: changes since a response that never came here, or by
-    /// another leader, leave out what that response granted or took away.
-    fn follows(&self, lease: &Lease) -> bool {
+    /// Whether a lease can be applied to the current state. An incremental lease can not if it starts from a
+    /// response that did not arrive here or comes from another leader: it leaves out what that response
+    /// granted or withdrew.
+    fn is_applicable(&self, lease: &Lease) -> bool {
         let Some(since) = lease.changes_since else { return true };
         let term = lease.position.map(|position| position.term);
         let is_known = |base: RenewalBase| Some(base.term) == term && base.revision >= since;
@@ -301,8 +314,8 @@
     }
 
     fn handle_lease(&mut self, seq: u64, lease: &Lease) {
-        self.answered = seq;
-        self.unanswered.retain(|u| u.seq > seq);
+        self.last_granted_seq = seq;
+        self.pending.retain(|p| p.seq > seq);
         if self.incarnation != Some(lease.incarnation) {
             self.drop_lease();
             self.incarnation = Some(lease.incarnation);
@@ -314,7 +327,8 @@
         self.base = lease.position.map(|p| RenewalBase { term: p.term, seq, revision: p.revision });
     }
 
-    /// Drops what a lease says that it holds no more: it was given back at its own request.
+    /// Drops the allocations that the lease no longer contains: the ledger released them at this holder's own
+    /// request.
     fn withdraw(&mut self, lease: &Lease) {
         if lease.changes_since.is_none() {
             let granted: BTreeSet<&Budget> = lease.grants.iter().map(|grant| &grant.budget).collect();
--- a/crates/ledger/src/lease_table.rs
+++ b/crates/ledger/src/lease_table.rs
@@ -1,67 +1,69 @@
-//! The replicated state: which processes are members, and what is allocated to each. All voters that applied the same
-//! entries have the same table.
+//! The replicated state: which processes are members, and which fractions are allocated to each. All voters
+//! that have applied the same log entries have the same table.
 
 use crate::budget::{Budget, HostNumber, Incarnation};
 use crate::fraction::Fraction;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change of the table, as entries of the log hold it. One that no longer applies changes nothing.
+/// A change of the table, as stored in a log entry. A change that no longer applies has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// A process joins and gets the next incarnation. Repeated for the same process it changes nothing.
+    /// A process joins and gets the next incarnation. It has no effect if that process is already a member.
     Join {
-        /// Its host.
+        /// Host of the process.
         host: HostNumber,
-        /// A number that this process drew and no other has.
+        /// Random number that identifies the process until it has an incarnation.
         nonce: u64,
     },
-    /// Sets what a process holds of a budget.
+    /// Sets the allocation of a process in a budget.
     #[serde(rename = "lend")]
     Allocate {
         /// The process.
-        to: Incarnation,
+        #[serde(rename = "to")]
+        member: Incarnation,
         /// The budget.
         budget: Budget,
-        /// How much of it.
+        /// The allocated fraction.
         #[serde(rename = "part")]
         fraction: Fraction,
-        /// The version of the allocation that this replaces; 0 where there is none. Danger: a change computed before
-        /// another one was applied would undo that one.
+        /// Version of the allocation that this one replaces; 0 if there is none. Without it a change that was
+        /// computed before another one was applied would undo that one.
         #[serde(rename = "after")]
         expected_version: u64,
     },
-    /// A process left, or its lease expired: all that it held is free.
+    /// Removes a process that left or whose lease expired. Its allocations become free.
     #[serde(rename = "forget")]
     Remove {
         /// The process.
-        who: Incarnation,
+        #[serde(rename = "who")]
+        member: Incarnation,
     },
 }
 
-/// A process that joined.
+/// A process that has joined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its host.
+    /// Host of the process.
     pub host: HostNumber,
-    /// The number that it drew.
+    /// Random number that identified the process when it joined.
     pub nonce: u64,
 }
 
-/// What a process holds of a budget.
+/// The fraction of a budget that is allocated to a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allocation {
-    /// How much of it.
+    /// The allocated fraction.
     #[serde(rename = "part")]
     pub fraction: Fraction,
-    /// Version of this allocation; no other one ever has it. 0 where the process holds nothing.
+    /// Version of this allocation. Versions are never reused; 0 stands for no allocation.
     #[serde(rename = "at")]
     pub version: u64,
 }
 
 impl Allocation {
-    /// What a process holds that has no allocation.
+    /// The value for a process that has no allocation.
     pub const NONE: Allocation = Allocation { fraction: Fraction::ZERO, version: 0 };
 }
 
@@ -79,62 +81,62 @@
 }
 
 impl LeaseTable {
-    /// An empty table; `lendable` is what the floors of all hosts leave of each budget.
+    /// An empty table; `lendable` is the fraction of each budget that the floors of all hosts leave over.
     pub fn new(lendable: Fraction) -> LeaseTable {
         LeaseTable { lendable: lendable.min(Fraction::WHOLE), ..LeaseTable::default() }
     }
 
-    /// What the floors of all hosts leave of each budget.
+    /// The fraction of each budget that the floors of all hosts leave over.
     pub fn lendable(&self) -> Fraction {
         self.lendable
     }
 
-    /// All processes that joined and were not removed.
+    /// All processes that have joined and were not removed.
     pub fn members(&self) -> &BTreeMap<Incarnation, Member> {
         &self.members
     }
 
-    /// Budgets of which something is allocated, with all allocations.
+    /// Budgets with at least one allocation, with all their allocations.
     pub fn budgets(&self) -> impl Iterator<Item = (&Budget, &BTreeMap<Incarnation, Allocation>)> {
         self.allocations.iter()
     }
 
-    /// What a process holds of a budget.
-    pub fn allocation(&self, who: Incarnation, budget: &Budget) -> Allocation {
-        let allocation = self.allocations.get(budget).and_then(|holders| holders.get(&who));
+    /// The allocation of a process in a budget.
+    pub fn allocation(&self, member: Incarnation, budget: &Budget) -> Allocation {
+        let allocation = self.allocations.get(budget).and_then(|holders| holders.get(&member));
         allocation.copied().unwrap_or(Allocation::NONE)
     }
 
-    /// All that a process holds.
-    pub fn allocations(&self, who: Incarnation) -> impl Iterator<Item = (&Budget, Allocation)> {
-        self.allocations.iter().filter_map(move |(budget, holders)| Some((budget, *holders.get(&who)?)))
+    /// All allocations of a process.
+    pub fn allocations(&self, member: Incarnation) -> impl Iterator<Item = (&Budget, Allocation)> {
+        self.allocations.iter().filter_map(move |(budget, holders)| Some((budget, *holders.get(&member)?)))
     }
 
-    /// What all processes hold of a budget.
+    /// The sum of all allocations in a budget.
     pub fn total_allocated(&self, budget: &Budget) -> Fraction {
         let Some(holders) = self.allocations.get(budget) else { return Fraction::ZERO };
         holders.values().map(|allocation| allocation.fraction).sum()
     }
 
-    /// The incarnation of a process that joined.
+    /// The incarnation of a process that has joined.
     pub fn incarnation(&self, host: HostNumber, nonce: u64) -> Option<Incarnation> {
-        let is_it = |m: &Member| m.host == host && m.nonce == nonce;
-        self.members.iter().find(|(_, m)| is_it(m)).map(|(who, _)| *who)
+        let matches = |m: &Member| m.host == host && m.nonce == nonce;
+        self.members.iter().find(|(_, m)| matches(m)).map(|(incarnation, _)| *incarnation)
     }
 
-    /// The latest process of a host.
+    /// The process of a host that joined last.
     pub fn latest(&self, host: HostNumber) -> Option<Incarnation> {
-        self.members.iter().rev().find(|(_, m)| m.host == host).map(|(who, _)| *who)
+        self.members.iter().rev().find(|(_, m)| m.host == host).map(|(incarnation, _)| *incarnation)
     }
 
-    /// Applies a change; whether it changed anything.
+    /// Applies a change. Returns whether it had an effect.
     pub fn apply(&mut self, change: &Change) -> bool {
         match change {
             Change::Join { host, nonce } => self.join(*host, *nonce),
-            Change::Allocate { to, budget, fraction, expected_version } => {
-                self.allocate(*to, budget, *fraction, *expected_version)
+            Change::Allocate { member, budget, fraction, expected_version } => {
+                self.allocate(*member, budget, *fraction, *expected_version)
             }
-            Change::Remove { who } => self.remove(*who),
+            Change::Remove { member } => self.remove(*member),
         }
     }
 
@@ -150,23 +152,23 @@
 
     fn allocate(
         &mut self,
-        to: Incarnation,
+        member: Incarnation,
         budget: &Budget,
         fraction: Fraction,
         expected_version: u64,
     ) -> bool {
-        let held = self.allocation(to, budget);
+        let held = self.allocation(member, budget);
         let total = self.total_allocated(budget).saturating_sub(held.fraction).saturating_add(fraction);
-        // Danger: whatever a leader proposes, more than the whole is never allocated.
-        if !self.members.contains_key(&to) || held.version != expected_version || total > self.lendable {
+        // Checked here and not by the leader alone: no proposal, however wrong, can over-allocate a budget.
+        if !self.members.contains_key(&member) || held.version != expected_version || total > self.lendable {
             return false;
         }
         self.last_version += 1;
         let holders = self.allocations.entry(budget.clone()).or_default();
         if fraction == Fraction::ZERO {
-            holders.remove(&to);
+            holders.remove(&member);
         } else {
-            holders.insert(to, Allocation { fraction, version: self.last_version });
+            holders.insert(member, Allocation { fraction, version: self.last_version });
         }
         if holders.is_empty() {
             self.allocations.remove(budget);
@@ -174,12 +176,12 @@
         true
     }
 
-    fn remove(&mut self, who: Incarnation) -> bool {
-        let known = self.members.remove(&who).is_some();
+    fn remove(&mut self, member: Incarnation) -> bool {
+        let was_member = self.members.remove(&member).is_some();
         self.allocations.retain(|_, holders| {
-            holders.remove(&who);
+            holders.remove(&member);
             !holders.is_empty()
         });
-        known
+        was_member
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,17 +1,22 @@
-//! Budgets of a fleet: which host may use which fraction of what, until when. No I/O, no clock, no panic on any input.
+//! Fleet-wide budgets: which host may use which fraction of each budget, and until when. No I/O, no clock, no
+//! panic on any input.
 //!
-//! A budget is a whole that all hosts share, such as the limit of a volume. Each host has a small floor for good and
-//! borrows the rest by lease from a ledger that a few hosts, the voters, replicate. The argument why what is in use never
-//! adds up to more than the whole is in `docs/design/budgets.md`; in short:
+//! A budget is a limit that all hosts of a fleet share, such as the rate limit of a volume. Each host
+//! permanently owns a small floor and leases further fractions from a ledger that a few hosts, the voters,
+//! replicate. The proof that the fractions in use never exceed the whole is in `docs/design/budgets.md`; in
+//! short:
 //!
-//! - [`LeaseTable`], the replicated state, accepts no change that would allocate more than all floors leave. It is changed
-//!   by entries of a log alone ([`raft`]).
-//! - An allocation is removed only at its holder's own request ([`Holder`] never uses more again than it declared) or once
-//!   its lease has expired by the leader's clock, counted from later than its holder counted, and for longer.
-//! - What a host uses beyond its floor it was granted from the table, after the leader had made sure that it still led.
+//! - [`LeaseTable`], the replicated state, rejects every change that would allocate more than the floors
+//!   leave over. Only committed log entries change it ([`raft`]).
+//! - An allocation is released only at its holder's own request ([`Holder`] never again uses more than it
+//!   declared) or after its lease has expired on the leader's clock. The leader starts counting later than
+//!   the holder, and counts longer.
+//! - A host uses a fraction beyond its floor only after the table has granted it and the leader has confirmed
+//!   its leadership with a quorum.
 //!
-//! Requests and responses tell what changed since the last response that the holder handled ([`RenewalBase`]): what is said
-//! and divided grows with what changes, not with hosts and budgets.
+//! Requests and responses are incremental: they carry the changes since the last response that the holder
+//! handled ([`RenewalBase`]). Traffic and the cost of dividing budgets grow with the changes, not with hosts
+//! times budgets.
 
 mod budget;
 mod divide;
@@ -30,28 +35,30 @@
 pub use divide::{divide, Claim};
 pub use fraction::Fraction;
 pub use holder::{Held, Holder, HolderState};
-pub use lease_manager::{Handling, LeaseManager, MemberLease};
+pub use lease_manager::{LeaseManager, MemberLease, RequestHandling};
 pub use lease_table::{Allocation, Change, LeaseTable, Member};
 pub use log::{Entry, Log, LogPosition};
 pub use message::{
     BudgetRequest, Grant, GrantsPosition, Hello, Lease, LeaseOutcome, LeaseRequest, LeaseResponse, Message,
-    Refusal, RenewalBase, VERSION,
+    Refusal, RenewalBase, PROTOCOL_VERSION,
 };
 pub use meter::Meter;
 pub use voter::{Ready, Voter, VoterState};
 
-/// Times by which a ledger runs, milliseconds. All hosts of a fleet have the same.
+/// Durations and timeouts of the ledger, in milliseconds. All hosts of a fleet use the same values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// How long a lease is valid, by its holder's clock, from before it was requested.
+    /// Validity of a lease on its holder's clock, counted from just before its request is sent.
     pub lease_ms: f64,
-    /// By how much one host's clock may run faster than another's, as a fraction: 0.25 for a quarter.
+    /// Largest difference in speed between the clocks of two hosts, as a fraction: with 0.25 one clock may
+    /// run 25 % faster than another.
     pub drift: f64,
-    /// How often a holder requests its lease anew.
+    /// Interval at which a holder renews its lease.
     pub renew_ms: f64,
-    /// How often a leader sends a heartbeat.
+    /// Interval between the heartbeats of a leader.
     pub heartbeat_ms: f64,
-    /// A voter that hears of no leader for one to two of these starts an election.
+    /// Election timeout: a voter that hears from no leader for a random time between this and twice this
+    /// starts an election.
     pub election_ms: f64,
 }
 
@@ -62,7 +69,8 @@
 }
 
 impl Times {
-    /// How long the leader counts a lease from its response: by then it has expired by any clock of a holder.
+    /// How long the leader treats a lease as valid after its response: by then it has expired on the holder's
+    /// clock, however that drifts within the bound.
     pub fn lease_with_drift_ms(&self) -> f64 {
         self.lease_ms * (1.0 + self.drift)
     }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -1,24 +1,24 @@
-//! The replicated log in memory: the entries after a snapshot.
+//! The in-memory part of the replicated log: the entries after the last snapshot.
 
 use crate::lease_table::Change;
 use serde::{Deserialize, Serialize};
 
-/// An entry. Its index is told by its place in the log.
+/// A log entry. Its index follows from its place in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that created it.
     pub term: u64,
-    /// The changes; none in the first entry of a term.
+    /// The changes to the table; none in the first entry of a term.
     pub changes: Vec<Change>,
 }
 
-/// Names an entry of the log. On disk it is the pair of both numbers.
+/// Identifies a log entry by index and term. It is stored as the pair of the two numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct LogPosition {
-    /// Its index. Indices begin at 1; 0 is before the first entry.
+    /// Index of the entry. Indices begin at 1; 0 stands for the position before the first entry.
     pub index: u64,
-    /// Its term.
+    /// Term of the entry.
     pub term: u64,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Entries after a snapshot.
+/// The log entries after a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Log {
     snapshot: LogPosition,
@@ -43,7 +43,7 @@
 
 impl Log {
     /// A log that continues from a snapshot.
-    pub fn after(snapshot: LogPosition, entries: Vec<Entry>) -> Log {
+    pub fn from_snapshot(snapshot: LogPosition, entries: Vec<Entry>) -> Log {
         Log { snapshot, entries }
     }
 
@@ -52,7 +52,7 @@
         self.snapshot
     }
 
-    /// The last entry.
+    /// Position of the last entry.
     pub fn last(&self) -> LogPosition {
         LogPosition { index: self.last_index(), term: self.last_term() }
     }
@@ -67,7 +67,7 @@
         self.entries.last().map_or(self.snapshot.term, |e| e.term)
     }
 
-    /// Term of an entry; none where there is no such entry, or the snapshot covers more than it.
+    /// Term of an entry; none if the log has no such entry or the snapshot ends after it.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -81,25 +81,25 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Up to `most` entries from an index on.
-    pub fn from(&self, index: u64, most: usize) -> &[Entry] {
+    /// Up to `max_entries` entries from an index on.
+    pub fn entries_from(&self, index: u64, max_entries: usize) -> &[Entry] {
         let first = self.offset(index).min(self.entries.len());
-        let end = self.entries.len().min(first.saturating_add(most));
+        let end = self.entries.len().min(first.saturating_add(max_entries));
         &self.entries[first..end]
     }
 
-    /// Appends an entry; its index.
+    /// Appends an entry and returns its index.
     pub fn push(&mut self, entry: Entry) -> u64 {
         self.entries.push(entry);
         self.last_index()
     }
 
-    /// Drops an entry and all after it.
-    pub fn cut(&mut self, index: u64) {
+    /// Removes an entry and all that follow it.
+    pub fn truncate_from(&mut self, index: u64) {
         self.entries.truncate(self.offset(index));
     }
 
-    /// A snapshot now covers all up to an index that the log has.
+    /// Drops the entries up to an index in the log that a snapshot now covers.
     pub fn compact(&mut self, index: u64) {
         if index <= self.snapshot.index {
             return;
@@ -109,7 +109,7 @@
         self.snapshot = LogPosition { index, term };
     }
 
-    /// Place of an index among the entries, 0 for all that the snapshot covers.
+    /// Offset of an index in `entries`; 0 for indices that the snapshot covers.
     fn offset(&self, index: u64) -> usize {
         index.saturating_sub(self.snapshot.index + 1) as usize
     }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,178 +1,180 @@
-//! Messages between hosts. Their form on the wire is fixed: see `tests/formats.rs`. Fields that a release does not know
-//! are skipped.
+//! Messages between hosts. Their encoding on the wire is fixed: see `tests/formats.rs`. Fields that a release
+//! does not know are ignored.
 
 use crate::budget::{Budget, HostNumber, Incarnation};
 use crate::fraction::Fraction;
 use crate::raft::RaftMessage;
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol. A host with another one is refused, and told why.
-pub const VERSION: u32 = 1;
+/// Version of the protocol. A host with another version is refused with a reason.
+pub const PROTOCOL_VERSION: u32 = 1;
 
-/// The handshake: first message of each connection, from both sides.
+/// The handshake: the first message on each connection, sent by both sides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`VERSION`] of the sender.
+    /// [`PROTOCOL_VERSION`] of the sender.
     pub version: u32,
     /// The fleet's name.
     pub fleet: String,
-    /// Checksum of the settings that all hosts of a fleet must share.
+    /// Checksum of the settings that must be the same on all hosts of a fleet.
     pub settings: String,
-    /// The sender.
+    /// The sending host.
     pub host: HostNumber,
 }
 
-/// One message.
+/// A message between two hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The first message of a connection, the response to it, and a keepalive.
+    /// The handshake, the response to it, and a keepalive.
     Hello(Hello),
-    /// Why the sender closes the connection.
+    /// The sender refuses the connection and closes it, for this reason.
     Refused(String),
-    /// From voter to voter.
+    /// A Raft message between voters.
     Raft(RaftMessage),
-    /// From a host to a voter.
+    /// A lease request of a host to a voter.
     #[serde(rename = "ask")]
     LeaseRequest(LeaseRequest),
-    /// From a voter to a host.
+    /// A voter's response to a lease request.
     #[serde(rename = "answer")]
     LeaseResponse(LeaseResponse),
 }
 
-/// What a host requests of one budget.
+/// The request of a host for a fraction of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetRequest {
     /// The budget.
     pub budget: Budget,
-    /// The demand of its clients of late; may be more than the whole.
+    /// Recent demand of its clients; may exceed the whole.
     pub demand: Fraction,
-    /// The least fraction that is of use: what holds its largest request.
-    pub least: Fraction,
-    /// How long that has to be held for a request to come of it, milliseconds.
+    /// Smallest useful fraction: the one that admits its largest request.
+    #[serde(rename = "least")]
+    pub min_fraction: Fraction,
+    /// How long it has to hold that fraction before it can send a request, in milliseconds.
     #[serde(default)]
     pub turn_ms: u32,
-    /// The host uses no more than this, on top of its floor, until a grant of a later version allows it.
+    /// Upper bound of what the host uses beyond its floor until it handles a grant of a later version.
     pub using: Fraction,
-    /// Version of the grant that `using` is under; 0 where there was none.
+    /// Version of the grant that `using` refers to; 0 if there is none.
     #[serde(rename = "at")]
     pub version: u64,
 }
 
-/// The last response that the sender of a request handled: the request holds what changed since the request that was
-/// responded to, and is responded to with what changed since that response.
+/// The last response that the sender of a request has handled. The request carries the changes since the
+/// request of that response, and its own response carries the changes since that response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewalBase {
-    /// The term of the leader that responded. What one leader was told no other knows.
+    /// Term of the leader that sent the response. A leader does not know the requests to earlier leaders.
     pub term: u64,
-    /// The request that it responded to.
+    /// Sequence number of the request that it responded to.
     pub seq: u64,
-    /// The revision of the grants up to which it told the sender.
+    /// Revision of the sender's grants that the response brought it up to.
     pub revision: u64,
 }
 
-/// A host requests a lease.
+/// A request for a lease, or for its renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The host.
+    /// The sending host.
     pub host: HostNumber,
-    /// The number that its process drew.
+    /// Random number that identifies the sending process.
     pub nonce: u64,
-    /// The number that the ledger gave the process, once it did.
+    /// Incarnation of the process; none until the ledger has assigned one.
     pub incarnation: Option<Incarnation>,
-    /// Counts the process's requests.
+    /// Sequence number of the request, counted by the process.
     pub seq: u64,
-    /// The process leaves: all that it held may be lent to others at once.
+    /// The process leaves the fleet: its allocations may be granted to others at once.
     pub leaving: bool,
-    /// Every budget that it holds or wants some of; with a `base` those that changed since.
+    /// Every budget that it holds or requests a fraction of; with a `base`, those that changed since.
     #[serde(rename = "wants")]
     pub requests: Vec<BudgetRequest>,
-    /// Since when `requests` tells what changed; none where it tells all.
+    /// The base of an incremental request; none in a full request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<RenewalBase>,
 }
 
-/// An allocation, as its holder is told of it.
+/// An allocation, as sent to its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The budget.
     pub budget: Budget,
-    /// The fraction that is allocated.
+    /// The allocated fraction.
     #[serde(rename = "part")]
     pub fraction: Fraction,
     /// Version of the allocation.
     #[serde(rename = "at")]
     pub version: u64,
-    /// What the holder should come down to; the same as `fraction` where it need not.
+    /// The fraction that the holder should reduce its use to; equal to `fraction` if it need not.
     pub target: Fraction,
 }
 
-/// Why a request got no lease.
+/// Why a request is refused a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// This voter is not the leader; perhaps that one is.
+    /// This voter is not the leader. It names the leader if it knows one.
     NotLeader(Option<HostNumber>),
-    /// The process is no member, or no longer: it has to join anew.
+    /// The process is not a member, or no longer one: it has to join again.
     Unknown,
-    /// A later process has the host's number.
+    /// A later process has joined under the same host number.
     Superseded,
-    /// This leader does not know what came before the changes: the request has to tell all.
+    /// The leader does not know the base of an incremental request: the sender has to send a full one.
     Unsynchronized,
 }
 
-/// Up to where a leader told a process of its grants.
+/// How far a response brings a process up to date with its grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantsPosition {
     /// The term of the leader.
     pub term: u64,
-    /// Counts changes of the process's grants during that term.
+    /// Number of changes to the process's grants during that term.
     pub revision: u64,
 }
 
-/// A lease, counted from when its request was sent.
+/// A lease. It is valid for [`Times::lease_ms`](crate::Times::lease_ms) from when its request was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The process.
     pub incarnation: Incarnation,
-    /// All that it holds; with `changes_since` what changed of it.
+    /// All grants of the process; with `changes_since`, those that changed.
     pub grants: Vec<Grant>,
-    /// What it holds nothing of any more, where only changes are told.
+    /// In an incremental lease, the budgets in which the process no longer has an allocation.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub withdrawn: Vec<Budget>,
-    /// The revision since which changes are told; none where all is told.
+    /// Revision that an incremental lease starts from; none in a full lease.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub changes_since: Option<u64>,
-    /// Up to where this tells; none from a release that always tells all.
+    /// Position that the process is at once it has handled the lease; none from a release that sends full
+    /// leases only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub position: Option<GrantsPosition>,
 }
 
 impl Lease {
-    /// A lease with these grants and no others, by a leader that always tells all.
-    pub fn whole(incarnation: Incarnation, grants: Vec<Grant>) -> Lease {
+    /// A full lease with these grants and no position, as a release without incremental leases sends it.
+    pub fn full(incarnation: Incarnation, grants: Vec<Grant>) -> Lease {
         Lease { incarnation, grants, withdrawn: Vec::new(), changes_since: None, position: None }
     }
 }
 
-/// The outcome of a request.
+/// The outcome of a lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseOutcome {
-    /// A lease.
+    /// The lease is granted or renewed.
     Lease(Lease),
-    /// No lease.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// A voter's response to a request.
+/// A voter's response to a lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// The process that sent the request.
+    /// Nonce of the process that sent the request.
     pub nonce: u64,
-    /// The request.
+    /// Sequence number of the request.
     pub seq: u64,
-    /// Its outcome.
+    /// Outcome of the request.
     #[serde(rename = "said")]
     pub outcome: LeaseOutcome,
 }
