--- a/crates/ledger/src/raft.rs
+++ b/crates/ledger/src/raft.rs
@@ -1,9 +1,9 @@
-//! Consensus on the log: Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm") with the
-//! pre-vote and the leader's check of its quorum (Ongaro's dissertation, sections 9.6 and 6.2).
+//! Consensus on the log: Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm")
+//! with pre-vote (section 9.6 of Ongaro's dissertation) and the leader's quorum check (section 6.2).
 //!
-//! The voters are fixed by the settings. Nothing is sent before what it promises is on disk: [`Raft::take_output`]
-//! returns records and messages together; the caller writes the records, sends the messages only then, and calls
-//! [`Raft::persisted`].
+//! The settings fix the set of voters. State must be on disk before any message that relies on it is sent:
+//! [`Raft::take_output`] returns records and messages together; the caller writes the records, then sends the
+//! messages, and calls [`Raft::persisted`].
 
 mod election;
 mod message;
@@ -21,28 +21,29 @@
 use election::Phase;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is to be written, then sent.
+/// Records to write and messages to send after that.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
-    /// Records to write. Where `rewrite` is set, the whole persistent state is written instead.
+    /// Records to append to the stored state. If `rewrite` is set, the whole persistent state is written
+    /// instead.
     pub records: Vec<Record>,
-    /// The log was compacted or replaced: [`Raft::persistent_state`] takes the place of all that was written.
+    /// The log was compacted or replaced: [`Raft::persistent_state`] replaces all that is stored.
     pub rewrite: bool,
-    /// Messages to send after that.
+    /// Messages to send once the write is on disk.
     pub messages: Vec<(HostNumber, RaftMessage)>,
 }
 
-/// What a leader knows of a follower.
+/// A follower's progress, as the leader knows it.
 #[derive(Clone, Debug, PartialEq)]
 struct Progress {
-    /// The next entry to send.
+    /// Index of the next entry to send.
     next_index: u64,
-    /// The last entry that is known to be on its disk.
+    /// Index of the last entry that is known to be on the follower's disk and the same as the leader's.
     match_index: u64,
-    /// The last heartbeat that it responded to.
+    /// Number of the last heartbeat that it responded to.
     heartbeat: u64,
-    /// When its last response came.
-    heard_at: f64,
+    /// When its last response arrived.
+    last_response_at: f64,
 }
 
 /// State of a leader.
@@ -51,9 +52,9 @@
     followers: BTreeMap<HostNumber, Progress>,
     /// Number of the last heartbeat.
     heartbeat: u64,
-    /// When that was sent.
+    /// When the last heartbeat was sent.
     heartbeat_at: f64,
-    /// The leader's first own entry. Once it is committed, the commit index is known to cover all of earlier terms.
+    /// Index of the first entry of this term. Once it is committed, so are all entries of earlier terms.
     first_index: u64,
 }
 
@@ -64,42 +65,45 @@
     Leader(Leadership),
 }
 
-/// One voter's replica of the log, and its role in the consensus on it.
+/// One voter's replica of the log, and its role in the consensus.
 #[derive(Clone, Debug)]
 pub struct Raft {
-    me: HostNumber,
-    others: Vec<HostNumber>,
+    id: HostNumber,
+    /// The other voters.
+    peers: Vec<HostNumber>,
     times: Times,
     random: Random,
     term: u64,
     voted_for: Option<HostNumber>,
     log: Log,
-    /// The state at the snapshot's end.
+    /// The state after the last entry that the snapshot covers.
     snapshot_table: LeaseTable,
+    /// The commit index.
     commit: u64,
-    /// The last entry that is on this voter's disk.
+    /// Index of the last entry on this voter's disk.
     persisted_index: u64,
     role: Role,
     election_at: f64,
-    leader_heard_at: f64,
+    last_leader_contact_at: f64,
     output: Output,
 }
 
 impl Raft {
-    /// A voter that continues from what it has on disk. It starts no election for one election time: a leader that is
-    /// alive is heard by then.
+    /// A voter that continues from the state on its disk.
+    ///
+    /// It starts no election for one election timeout; a leader that is alive makes contact within that time.
     pub fn new(
-        me: HostNumber,
+        id: HostNumber,
         voters: &[HostNumber],
         times: Times,
         seed: u64,
         state: PersistentState,
         now: f64,
     ) -> Raft {
-        let log = Log::after(state.snapshot, state.entries);
+        let log = Log::from_snapshot(state.snapshot, state.entries);
         let mut raft = Raft {
-            me,
-            others: voters.iter().copied().filter(|v| *v != me).collect(),
+            id,
+            peers: voters.iter().copied().filter(|v| *v != id).collect(),
             times,
             random: Random(seed),
             term: state.term,
@@ -110,14 +114,14 @@
             snapshot_table: state.table,
             role: Role::Follower { leader: None },
             election_at: 0.0,
-            leader_heard_at: f64::NEG_INFINITY,
+            last_leader_contact_at: f64::NEG_INFINITY,
             output: Output::default(),
         };
         raft.reset_election_timer(now);
         raft
     }
 
-    /// The term.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.term
     }
@@ -132,17 +136,17 @@
         &self.log
     }
 
-    /// The state that the snapshot holds.
+    /// The state after the last entry that the snapshot covers.
     pub fn snapshot_table(&self) -> &LeaseTable {
         &self.snapshot_table
     }
 
-    /// The leader, as far as this voter knows.
+    /// The leader of the current term, if this voter knows it.
     pub fn leader(&self) -> Option<HostNumber> {
         match &self.role {
             Role::Follower { leader } => *leader,
             Role::Candidate { .. } => None,
-            Role::Leader(_) => Some(self.me),
+            Role::Leader(_) => Some(self.id),
         }
     }
 
@@ -151,12 +155,13 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this voter is the leader and its first entry is committed: it then knows all that was ever committed.
+    /// Whether this voter is the leader and the first entry of its term is committed: it then knows all
+    /// committed entries.
     pub fn has_committed_in_term(&self) -> bool {
         matches!(&self.role, Role::Leader(leadership) if self.commit >= leadership.first_index)
     }
 
-    /// When [`Raft::tick`] has something to do next.
+    /// When [`Raft::tick`] has to be called next.
     pub fn next_deadline(&self) -> f64 {
         match &self.role {
             Role::Leader(leadership) => leadership.heartbeat_at + self.times.heartbeat_ms,
@@ -164,31 +169,34 @@
         }
     }
 
-    /// Sends the heartbeat or starts the election that is due.
+    /// Sends a heartbeat or starts an election if one is due. A leader without contact to a quorum steps
+    /// down.
     pub fn tick(&mut self, now: f64) {
         if now < self.next_deadline() {
             return;
         }
         if !self.is_leader() {
             self.campaign(now, Phase::PreVote);
-        } else if self.hears_quorum(now) {
+        } else if self.has_quorum_contact(now) {
             self.send_heartbeat(now);
         } else {
             self.become_follower(now, self.term, None);
         }
     }
 
-    /// Proposes an entry; its index, or none where another voter leads. It is sent with the next heartbeat.
+    /// Appends an entry to the leader's log and returns its index; none if this voter is not the leader. The
+    /// entry is sent with the next heartbeat.
     pub fn propose(&mut self, changes: Vec<Change>) -> Option<u64> {
         self.is_leader().then(|| self.append(changes))
     }
 
-    /// Takes what there is to write and to send.
+    /// Takes the pending records and messages.
     pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.output)
     }
 
-    /// Handles a message of another voter. The caller keeps away messages of hosts that are no voters.
+    /// Handles a message from another voter. The caller must filter out messages from hosts that are not
+    /// voters.
     pub fn handle_message(&mut self, now: f64, from: HostNumber, message: RaftMessage) {
         let RaftMessage { term, payload } = message;
         if term > self.term && !payload.is_pre_vote() {
--- a/crates/ledger/src/raft/election.rs
+++ b/crates/ledger/src/raft/election.rs
@@ -1,23 +1,24 @@
-//! Elections: timers, pre-votes, votes and the change of roles.
+//! Elections: timers, pre-votes, votes and role changes.
 
 use super::{Leadership, Progress, Raft, RaftPayload, Role};
 use crate::budget::HostNumber;
 use crate::log::LogPosition;
 use std::collections::BTreeSet;
 
-/// What a candidate asks for.
+/// Phase of a candidate's election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Whether it would get votes, so that a voter that was cut off does not depose a leader.
+    /// The candidate asks whether it would get votes, without a new term. This keeps a voter that was
+    /// partitioned from deposing a leader on its return.
     PreVote,
-    /// Votes.
+    /// The candidate has begun a new term and requests votes.
     Election,
 }
 
 impl Raft {
-    /// Number of voters that a decision needs.
+    /// Number of voters in a majority.
     pub(super) fn quorum(&self) -> usize {
-        self.others.len().div_ceil(2) + 1
+        self.peers.len().div_ceil(2) + 1
     }
 
     pub(super) fn reset_election_timer(&mut self, now: f64) {
@@ -31,19 +32,19 @@
         self.reset_election_timer(now);
     }
 
-    /// Asks all voters for their votes, or first for their pre-votes.
+    /// Becomes a candidate and requests votes or pre-votes from all voters.
     pub(super) fn campaign(&mut self, now: f64, phase: Phase) {
         self.reset_election_timer(now);
         if phase == Phase::Election {
-            self.set_hard_state(self.term + 1, Some(self.me));
+            self.set_hard_state(self.term + 1, Some(self.id));
         }
-        self.role = Role::Candidate { phase, votes: BTreeSet::from([self.me]) };
+        self.role = Role::Candidate { phase, votes: BTreeSet::from([self.id]) };
         let LogPosition { index: last_index, term: last_term } = self.log.last();
         let (term, request) = match phase {
             Phase::PreVote => (self.term + 1, RaftPayload::PreVoteRequest { last_index, last_term }),
             Phase::Election => (self.term, RaftPayload::VoteRequest { last_index, last_term }),
         };
-        for to in self.others.clone() {
+        for to in self.peers.clone() {
             self.send(to, term, request.clone());
         }
         self.count_votes(now);
@@ -62,14 +63,15 @@
 
     fn become_leader(&mut self, now: f64) {
         let first_index = self.log.last_index() + 1;
-        let progress = Progress { next_index: first_index, match_index: 0, heartbeat: 0, heard_at: now };
+        let progress =
+            Progress { next_index: first_index, match_index: 0, heartbeat: 0, last_response_at: now };
         self.role = Role::Leader(Leadership {
-            followers: self.others.iter().map(|v| (*v, progress.clone())).collect(),
+            followers: self.peers.iter().map(|v| (*v, progress.clone())).collect(),
             heartbeat: 0,
             heartbeat_at: now,
             first_index,
         });
-        // Entries of earlier terms are committed with the first entry of this one, and not before.
+        // Entries of earlier terms can only be committed together with an entry of this term.
         self.append(Vec::new());
         self.send_heartbeat(now);
     }
@@ -81,7 +83,7 @@
         term: u64,
         last: LogPosition,
     ) {
-        let has_leader = self.is_leader() || now - self.leader_heard_at < self.times.election_ms;
+        let has_leader = self.is_leader() || now - self.last_leader_contact_at < self.times.election_ms;
         let granted = term > self.term && !has_leader && self.is_up_to_date(last);
         let term = if granted { term } else { self.term };
         self.send(from, term, RaftPayload::PreVoteResponse(granted));
@@ -91,7 +93,8 @@
         if granted && term == self.term + 1 {
             self.record_vote(now, from, Phase::PreVote);
         } else if !granted && term > self.term {
-            // Danger: a voter whose term fell behind, but whose log is the longest, would ask in vain for ever.
+            // Without adopting the higher term, a voter whose term is behind but whose log is the most up to
+            // date would be denied pre-votes forever.
             self.become_follower(now, term, None);
         }
     }
@@ -112,31 +115,31 @@
         }
     }
 
-    fn record_vote(&mut self, now: f64, from: HostNumber, of: Phase) {
-        if !self.others.contains(&from) {
+    fn record_vote(&mut self, now: f64, from: HostNumber, vote_phase: Phase) {
+        if !self.peers.contains(&from) {
             return;
         }
         if let Role::Candidate { phase, votes } = &mut self.role {
-            if *phase == of {
+            if *phase == vote_phase {
                 votes.insert(from);
                 self.count_votes(now);
             }
         }
     }
 
-    /// Whether a log that ends there has all that may have been committed here.
+    /// Whether a log with this last entry is at least as up to date as this voter's, as Raft defines it.
     fn is_up_to_date(&self, last: LogPosition) -> bool {
         let own = self.log.last();
         (last.term, last.index) >= (own.term, own.index)
     }
 
-    /// Whether the sender is the leader of the present term; if so, this voter follows it.
+    /// Follows the sender if it is the leader of the current term. Returns whether it is.
     pub(super) fn accept_leader(&mut self, now: f64, from: HostNumber, term: u64) -> bool {
         if term != self.term || self.is_leader() {
             return false;
         }
         self.role = Role::Follower { leader: Some(from) };
-        self.leader_heard_at = now;
+        self.last_leader_contact_at = now;
         self.reset_election_timer(now);
         true
     }
--- a/crates/ledger/src/raft/replication.rs
+++ b/crates/ledger/src/raft/replication.rs
@@ -1,23 +1,23 @@
-//! Replication of the log: heartbeats, entries, snapshots and the commit index.
+//! Log replication: heartbeats, entries, snapshots and the commit index.
 
 use super::{Raft, RaftPayload, Role};
 use crate::budget::HostNumber;
 use crate::lease_table::LeaseTable;
 use crate::log::{Entry, Log, LogPosition};
 
-/// Most entries in one message.
+/// Maximum number of entries in one message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 
-/// What a follower did with the entries of a leader.
+/// Result of appending a leader's entries to a follower's log.
 struct AppendResult {
-    /// Whether the log has the entry before them.
+    /// Whether the log contains the entry before them.
     success: bool,
-    /// The last index that is the same at both, or the one to continue from.
+    /// On success, the last index that matches the leader's log; otherwise the index to continue from.
     index: u64,
 }
 
 impl Raft {
-    /// Leader: sends a heartbeat to all followers, with the entries that they lack; the heartbeat's number.
+    /// Leader: sends a heartbeat with the missing entries to all followers. Returns the heartbeat's number.
     pub fn send_heartbeat(&mut self, now: f64) -> u64 {
         let Role::Leader(leadership) = &mut self.role else { return 0 };
         leadership.heartbeat += 1;
@@ -30,22 +30,23 @@
         heartbeat
     }
 
-    /// Leader: the last heartbeat of this term that a quorum is known to have received.
+    /// Leader: number of the last heartbeat of this term that a quorum has responded to.
     pub fn confirmed_heartbeat(&self) -> u64 {
         let Role::Leader(leadership) = &self.role else { return 0 };
         let followers = leadership.followers.values().map(|f| f.heartbeat);
         self.reached_by_quorum(followers.chain([leadership.heartbeat]).collect())
     }
 
-    /// Leader: whether a quorum was heard of late. Otherwise another may lead by now.
-    pub(super) fn hears_quorum(&self, now: f64) -> bool {
+    /// Leader: whether a quorum has responded recently. Otherwise another voter may lead by now.
+    pub(super) fn has_quorum_contact(&self, now: f64) -> bool {
         let Role::Leader(leadership) = &self.role else { return false };
         let window_ms = 2.0 * self.times.election_ms;
-        let heard = leadership.followers.values().filter(|f| now - f.heard_at <= window_ms).count();
-        heard + 1 >= self.quorum()
+        let responsive =
+            leadership.followers.values().filter(|f| now - f.last_response_at <= window_ms).count();
+        responsive + 1 >= self.quorum()
     }
 
-    /// The highest number that a quorum of voters has reached, given one number of each.
+    /// The highest number that a quorum of voters has reached, given one number per voter.
     fn reached_by_quorum(&self, mut numbers: Vec<u64>) -> u64 {
         numbers.sort_unstable();
         numbers[numbers.len() - self.quorum()]
@@ -58,7 +59,7 @@
             Some(previous_term) if next_index > snapshot.index => RaftPayload::AppendRequest {
                 previous_index,
                 previous_term,
-                entries: self.log.from(next_index, MAX_ENTRIES_PER_MESSAGE).to_vec(),
+                entries: self.log.entries_from(next_index, MAX_ENTRIES_PER_MESSAGE).to_vec(),
                 commit: self.commit,
                 heartbeat,
             },
@@ -91,7 +92,7 @@
 
     fn append_entries(&mut self, previous: LogPosition, entries: Vec<Entry>, commit: u64) -> AppendResult {
         let snapshot = self.log.snapshot();
-        // All that the snapshot covers is committed, and so the same at both.
+        // All entries that the snapshot covers are committed and therefore match the leader's.
         if previous.index >= snapshot.index && self.log.term(previous.index) != Some(previous.term) {
             let before = self.log.last_index().min(previous.index.saturating_sub(1));
             return AppendResult { success: false, index: before.max(self.commit) };
@@ -106,7 +107,7 @@
                 // No leader may overwrite a committed entry.
                 return AppendResult { success: false, index: self.commit };
             }
-            self.log.cut(index);
+            self.log.truncate_from(index);
             self.persisted_index = self.persisted_index.min(self.log.last_index());
             self.append_entry(entry);
         }
@@ -116,10 +117,10 @@
 
     pub(super) fn install_snapshot(&mut self, index: u64, term: u64, table: LeaseTable) {
         if self.log.term(index) == Some(term) {
-            // The log has all of it, and perhaps entries after it that count for a quorum: they stay.
+            // The log already contains all of it. Entries after it may count towards a quorum and must stay.
             self.commit = self.commit.max(index);
         } else if index > self.commit {
-            self.log = Log::after(LogPosition { index, term }, Vec::new());
+            self.log = Log::from_snapshot(LogPosition { index, term }, Vec::new());
             (self.snapshot_table, self.commit) = (table, index);
             self.output.rewrite = true;
         }
@@ -135,17 +136,18 @@
     ) {
         let last_index = self.log.last_index();
         let Role::Leader(leadership) = &mut self.role else { return };
-        let latest = leadership.heartbeat;
+        let last_heartbeat = leadership.heartbeat;
         let Some(follower) = leadership.followers.get_mut(&from) else { return };
-        follower.heard_at = now;
-        follower.heartbeat = follower.heartbeat.max(heartbeat.min(latest));
+        follower.last_response_at = now;
+        follower.heartbeat = follower.heartbeat.max(heartbeat.min(last_heartbeat));
         if success {
             follower.match_index = follower.match_index.max(index.min(last_index));
             follower.next_index = follower.next_index.max(follower.match_index + 1);
             let next_index = follower.next_index;
             if next_index <= last_index {
-                // Sent at once: one message a heartbeat would be slow for a follower that was away for long.
-                self.send_entries(from, next_index, latest);
+                // Sent at once: with one message per heartbeat a follower that is far behind would take long
+                // to catch up.
+                self.send_entries(from, next_index, last_heartbeat);
             }
         } else {
             follower.next_index = (index + 1).min(last_index + 1).max(follower.match_index + 1);
@@ -153,7 +155,8 @@
         self.advance_commit();
     }
 
-    /// Leader: an entry of this term that is on the disks of a quorum is committed, with all before it.
+    /// Leader: commits the last entry of this term that is on the disks of a quorum, and all entries before
+    /// it.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leadership) = &self.role else { return };
         let followers = leadership.followers.values().map(|f| f.match_index);
--- a/crates/ledger/src/raft/storage.rs
+++ b/crates/ledger/src/raft/storage.rs
@@ -1,4 +1,4 @@
-//! What a voter keeps on disk: term, vote, snapshot and log.
+//! The persistent state of a voter: term, vote, snapshot and log.
 
 use super::Raft;
 use crate::budget::HostNumber;
@@ -6,56 +6,57 @@
 use crate::log::{Entry, LogPosition};
 use serde::{Deserialize, Serialize};
 
-/// A record that has to be on disk before any message of the same [`Output`](super::Output) is sent, in this order.
+/// A record to store. All records of an [`Output`](super::Output) have to be on disk, in order, before any of
+/// its messages is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// Term and vote.
+    /// Raft's hard state: term and vote.
     #[serde(rename = "promise")]
     HardState {
-        /// The term.
+        /// The current term.
         term: u64,
-        /// Who got the vote in it.
+        /// The candidate that got this voter's vote in that term.
         #[serde(rename = "voted")]
         voted_for: Option<HostNumber>,
     },
-    /// An entry; it replaces the log's entry of that index and all after it.
+    /// A log entry; it replaces the stored entry with that index and all that follow it.
     Entry {
-        /// Its index.
+        /// Index of the entry.
         index: u64,
         /// The entry.
         entry: Entry,
     },
 }
 
-/// All that a voter has on disk.
+/// All persistent state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// Who got the vote in it.
+    /// The candidate that got this voter's vote in that term.
     #[serde(rename = "voted")]
     pub voted_for: Option<HostNumber>,
     /// The last entry that the snapshot covers.
     #[serde(rename = "base")]
     pub snapshot: LogPosition,
-    /// The snapshot: the state up to there.
+    /// The snapshot: the state after that entry.
     #[serde(rename = "book")]
     pub table: LeaseTable,
-    /// Entries after the snapshot.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// Applies a record that was written after this state; false where it does not follow on what is there.
-    pub fn add(&mut self, record: Record) -> bool {
+    /// Applies a record that was stored after this state. Returns false if the record does not continue it.
+    pub fn apply(&mut self, record: Record) -> bool {
         match record {
-            Record::HardState { term, voted_for } => self.add_hard_state(term, voted_for),
-            Record::Entry { index, entry } => self.add_entry(index, entry),
+            Record::HardState { term, voted_for } => self.apply_hard_state(term, voted_for),
+            Record::Entry { index, entry } => self.apply_entry(index, entry),
         }
     }
 
-    fn add_hard_state(&mut self, term: u64, voted_for: Option<HostNumber>) -> bool {
+    fn apply_hard_state(&mut self, term: u64, voted_for: Option<HostNumber>) -> bool {
         if term < self.term {
             return false;
         }
@@ -63,9 +64,9 @@
         true
     }
 
-    fn add_entry(&mut self, index: u64, entry: Entry) -> bool {
-        let offset = index.checked_sub(self.snapshot.index + 1).and_then(|at| usize::try_from(at).ok());
-        let Some(offset) = offset.filter(|at| *at <= self.entries.len()) else { return false };
+    fn apply_entry(&mut self, index: u64, entry: Entry) -> bool {
+        let offset = index.checked_sub(self.snapshot.index + 1).and_then(|o| usize::try_from(o).ok());
+        let Some(offset) = offset.filter(|o| *o <= self.entries.len()) else { return false };
         self.entries.truncate(offset);
         self.entries.push(entry);
         true
@@ -73,7 +74,7 @@
 }
 
 impl Raft {
-    /// All that has to be on disk, as one.
+    /// The whole state that has to be on disk.
     pub fn persistent_state(&self) -> PersistentState {
         let snapshot = self.log.snapshot();
         PersistentState {
@@ -81,17 +82,17 @@
             voted_for: self.voted_for,
             snapshot,
             table: self.snapshot_table.clone(),
-            entries: self.log.from(snapshot.index + 1, usize::MAX).to_vec(),
+            entries: self.log.entries_from(snapshot.index + 1, usize::MAX).to_vec(),
         }
     }
 
-    /// Called once all records taken so far are on disk.
+    /// Records that all output taken so far is on disk.
     pub fn persisted(&mut self) {
         self.persisted_index = self.log.last_index();
         self.advance_commit();
     }
 
-    /// Replaces the entries up to a committed index by the state that they led to.
+    /// Replaces the log up to a committed index by a snapshot: the table that results from those entries.
     pub fn compact(&mut self, index: u64, table: &LeaseTable) {
         if index > self.log.snapshot().index && index <= self.commit {
             self.log.compact(index);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Appends an entry of the present term to the own log; its index.
+    /// Appends an entry of the current term to this voter's log and returns its index.
     pub(super) fn append(&mut self, changes: Vec<Change>) -> u64 {
         self.append_entry(Entry { term: self.term, changes })
     }
--- a/crates/ledger/src/random.rs
+++ b/crates/ledger/src/random.rs
@@ -1,6 +1,6 @@
-//! A seeded generator of random numbers.
+//! A seeded pseudo-random number generator.
 
-/// splitmix64: the numbers depend on the seed alone.
+/// SplitMix64. The sequence depends on the seed alone, so that runs can be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Random(pub(crate) u64);
 
--- a/crates/ledger/src/voter.rs
+++ b/crates/ledger/src/voter.rs
@@ -1,47 +1,48 @@
-//! A voter: its replica of the log and of the state, and while it leads the management of leases.
+//! A voter: its replica of the log and the table, and the management of leases while it is the leader.
 
 use crate::budget::{HostNumber, Incarnation};
-use crate::lease_manager::{Handling, LeaseManager};
+use crate::lease_manager::{LeaseManager, RequestHandling};
 use crate::lease_table::{Change, LeaseTable};
 use crate::message::{LeaseOutcome, LeaseRequest, LeaseResponse, Refusal};
 use crate::raft::{Output, PersistentState, Raft, RaftMessage};
 use crate::Times;
 
-/// Entries after which the log is compacted into a snapshot, by default.
+/// Default number of entries after which the log is compacted into a snapshot.
 const COMPACT_AFTER: u64 = 2_048;
-/// The least time between two divisions, milliseconds: requests that come within it are handled together.
+/// Minimum time between two divisions, in milliseconds. Requests that arrive within it are handled together.
 const BATCH_WINDOW_MS: f64 = 20.0;
-/// Most requests of one process that wait for a response.
+/// Maximum number of requests of one process that wait for a response.
 const MAX_PENDING_REQUESTS: usize = 4;
 
-/// What is to be written, then sent to voters and to those who sent requests.
+/// Output of a voter: what to write, and the messages and responses to send after that.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready<T> {
-    /// For the other voters, with what has to be on disk before.
+    /// Records to write and messages to the other voters.
     pub raft: Output,
-    /// Responses, by the token of their request.
+    /// Responses, each with the token of its request.
     pub responses: Vec<(T, LeaseResponse)>,
 }
 
-/// Status of a voter, for status pages.
+/// Status of a voter, for monitoring.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterState {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The leader.
+    /// The leader, if this voter knows it.
     pub leader: Option<HostNumber>,
-    /// Index of the last committed entry that it knows of.
+    /// Index of the last entry that it knows to be committed.
     pub commit: u64,
-    /// Index of the last entry that it has.
-    pub last: u64,
+    /// Index of the last entry in its log.
+    pub last_index: u64,
 }
 
-/// What has to happen before a response is sent.
+/// Precondition for sending a response.
 #[derive(Clone, Copy, Debug)]
 struct Condition {
-    /// A quorum has received this heartbeat, which was sent after the request came: this voter still led then.
+    /// A quorum has to respond to this heartbeat. It is sent after the request arrived, so its confirmation
+    /// proves that this voter was still the leader then.
     heartbeat: u64,
-    /// The entry of this index is applied: what the request led to is in its response.
+    /// The entry with this index has to be applied, so that the response contains the effect of the request.
     index: u64,
 }
 
@@ -49,27 +50,28 @@
 struct PendingRequest<T> {
     token: T,
     request: LeaseRequest,
-    /// None until a division has looked at the request.
+    /// None until the request has been handled in a division.
     condition: Option<Condition>,
 }
 
-/// A request that gets no lease.
+/// A request that gets no lease, identified by nonce and sequence number.
 struct Rejected {
     nonce: u64,
     seq: u64,
-    /// None where it gets no response at all.
+    /// None if it gets no response at all.
     refusal: Option<Refusal>,
 }
 
-/// State of a voter while it leads.
+/// State of a voter while it is the leader.
 #[derive(Clone, Debug)]
 struct Leadership<T> {
     lease_manager: LeaseManager,
     pending: Vec<PendingRequest<T>>,
-    /// Index of the last proposal. No other is made before it is applied.
-    proposed: u64,
+    /// Index of the last proposed entry. The next one is proposed only after this one is applied.
+    proposed_index: u64,
+    /// Earliest time of the next division.
     divide_at: f64,
-    /// Requests came that no division has looked at.
+    /// There are pending requests that have not been handled in a division.
     has_new_requests: bool,
 }
 
@@ -78,18 +80,19 @@
         Leadership {
             lease_manager: LeaseManager::new(times, term, table, now),
             pending: Vec::new(),
-            proposed: 0,
+            proposed_index: 0,
             divide_at: now,
             has_new_requests: false,
         }
     }
 
     fn add(&mut self, token: T, request: LeaseRequest) {
-        // Danger: were each request to replace the one before, with a slow disk none would get a response.
+        // Several requests of a process may be pending. If each replaced the previous one, none would get a
+        // response while the disk is slower than the renewal interval.
         let nonce = request.nonce;
-        let of_process = |p: &PendingRequest<T>| p.request.nonce == nonce;
-        if self.pending.iter().filter(|p| of_process(p)).count() >= MAX_PENDING_REQUESTS {
-            if let Some(oldest) = self.pending.iter().position(of_process) {
+        let is_same_process = |p: &PendingRequest<T>| p.request.nonce == nonce;
+        if self.pending.iter().filter(|p| is_same_process(p)).count() >= MAX_PENDING_REQUESTS {
+            if let Some(oldest) = self.pending.iter().position(is_same_process) {
                 self.pending.remove(oldest);
             }
         }
@@ -99,18 +102,19 @@
 
     fn next_division(&self) -> f64 {
         let has_work = self.has_new_requests || self.lease_manager.has_dirty_budgets();
-        let for_requests = if has_work { self.divide_at } else { f64::INFINITY };
-        for_requests.min((self.lease_manager.next_deadline() + 1.0).max(self.divide_at))
+        let work_at = if has_work { self.divide_at } else { f64::INFINITY };
+        work_at.min((self.lease_manager.next_deadline() + 1.0).max(self.divide_at))
     }
 
     fn is_division_due(&self, now: f64, applied: u64) -> bool {
         let has_work = self.has_new_requests
             || self.lease_manager.has_dirty_budgets()
             || now > self.lease_manager.next_deadline();
-        has_work && now >= self.divide_at && self.proposed <= applied
+        has_work && now >= self.divide_at && self.proposed_index <= applied
     }
 
-    /// Hands new requests to the lease manager. Processes that are to join, and requests that get no lease.
+    /// Passes new requests to the lease manager. Returns the joins to propose and the requests that get no
+    /// lease.
     fn admit_new_requests(&mut self, now: f64, table: &LeaseTable) -> (Vec<Change>, Vec<Rejected>) {
         let mut joins = Vec::new();
         let mut rejected = Vec::new();
@@ -118,10 +122,10 @@
             let mut reject =
                 |refusal| rejected.push(Rejected { nonce: request.nonce, seq: request.seq, refusal });
             match admit(table, request) {
-                Admission::Member(who) => match self.lease_manager.handle_request(now, who, request) {
-                    Handling::Accepted => {}
-                    Handling::Ignored => reject(None),
-                    Handling::Unsynchronized => reject(Some(Refusal::Unsynchronized)),
+                Admission::Member(member) => match self.lease_manager.handle_request(now, member, request) {
+                    RequestHandling::Accepted => {}
+                    RequestHandling::Ignored => reject(None),
+                    RequestHandling::Unsynchronized => reject(Some(Refusal::Unsynchronized)),
                 },
                 Admission::Join => joins.push(Change::Join { host: request.host, nonce: request.nonce }),
                 Admission::Refused(refusal) => reject(Some(refusal)),
@@ -136,15 +140,15 @@
         }
     }
 
-    /// Removes one request. Danger: a process may have several here; the others stay.
+    /// Removes the rejected request, but not the other pending requests of the same process.
     fn remove(&mut self, rejected: &Rejected) -> Option<PendingRequest<T>> {
-        let is_it =
+        let is_rejected =
             |p: &PendingRequest<T>| (p.request.nonce, p.request.seq) == (rejected.nonce, rejected.seq);
-        let at = self.pending.iter().position(is_it)?;
-        Some(self.pending.swap_remove(at))
+        let position = self.pending.iter().position(is_rejected)?;
+        Some(self.pending.swap_remove(position))
     }
 
-    /// Takes the requests whose condition is met.
+    /// Removes and returns the requests whose condition is met.
     fn take_confirmed(&mut self, confirmed_heartbeat: u64, applied: u64) -> Vec<PendingRequest<T>> {
         let is_met = |c: Condition| c.heartbeat <= confirmed_heartbeat && c.index <= applied;
         let (confirmed, rest) =
@@ -154,13 +158,14 @@
     }
 }
 
-/// One voter. `T` names requests to whoever hands them in.
+/// A voter of the ledger. `T` is a token that the caller passes with a request and gets back with its
+/// response.
 #[derive(Clone, Debug)]
 pub struct Voter<T> {
     raft: Raft,
     times: Times,
     table: LeaseTable,
-    /// Index of the last entry that `table` has.
+    /// Index of the last entry that is applied to `table`.
     applied: u64,
     leadership: Option<Leadership<T>>,
     responses: Vec<(T, LeaseResponse)>,
@@ -168,9 +173,10 @@
 }
 
 impl<T: Clone> Voter<T> {
-    /// A voter that continues from what it has on disk. The `table` of a new one is an empty [`LeaseTable::new`].
+    /// A voter that continues from the state on its disk. A new voter starts with an empty table
+    /// ([`LeaseTable::new`]).
     pub fn new(
-        me: HostNumber,
+        id: HostNumber,
         voters: &[HostNumber],
         times: Times,
         seed: u64,
@@ -181,64 +187,65 @@
             times,
             table: state.table.clone(),
             applied: state.snapshot.index,
-            raft: Raft::new(me, voters, times, seed, state, now),
+            raft: Raft::new(id, voters, times, seed, state, now),
             leadership: None,
             responses: Vec::new(),
             compact_after: COMPACT_AFTER,
         }
     }
 
-    /// The same voter, whose log is compacted after so many entries.
-    pub fn compacting_after(self, entries: u64) -> Voter<T> {
+    /// Sets the number of entries after which the log is compacted.
+    pub fn with_compact_after(self, entries: u64) -> Voter<T> {
         Voter { compact_after: entries, ..self }
     }
 
-    /// The replicated state, as far as this voter knows it.
+    /// The replicated state, up to the last entry that this voter has applied.
     pub fn table(&self) -> &LeaseTable {
         &self.table
     }
 
-    /// The consensus on the log.
+    /// The Raft state of this voter.
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
 
-    /// The leases, while this voter leads and knows all that was committed.
+    /// The lease manager, while this voter is the leader and knows all committed entries.
     pub fn lease_manager(&self) -> Option<&LeaseManager> {
         self.leadership.as_ref().map(|l| &l.lease_manager)
     }
 
-    /// Its status.
+    /// The current status.
     pub fn state(&self) -> VoterState {
         VoterState {
             term: self.raft.term(),
             leader: self.raft.leader(),
             commit: self.raft.commit(),
-            last: self.raft.log().last_index(),
+            last_index: self.raft.log().last_index(),
         }
     }
 
-    /// When [`Voter::tick`] has something to do next.
+    /// When [`Voter::tick`] has to be called next.
     pub fn next_deadline(&self) -> f64 {
-        // While a proposal waits to be committed, messages move things on, and no clock does.
-        let idle = self.leadership.as_ref().filter(|l| l.proposed <= self.applied);
+        // While a proposal waits to be committed, only messages make progress, not the clock.
+        let idle = self.leadership.as_ref().filter(|l| l.proposed_index <= self.applied);
         let next_division = idle.map_or(f64::INFINITY, Leadership::next_division);
         self.raft.next_deadline().min(next_division)
     }
 
-    /// Does what is due.
+    /// Does the work that is due.
     pub fn tick(&mut self, now: f64) {
         self.raft.tick(now);
         self.process(now);
     }
 
-    /// Handles a message of another voter.
+    /// Handles a message from another voter.
     pub fn handle_message(&mut self, now: f64, from: HostNumber, message: RaftMessage) {
         self.raft.handle_message(now, from, message);
         self.process(now);
     }
 
-    /// Handles a request. The response follows at once, or when it is sure that this voter still leads.
+    /// Handles a lease request. A refusal is sent at once, a lease only after a quorum has confirmed that
+    /// this voter is still the leader.
     pub fn handle_request(&mut self, now: f64, token: T, request: LeaseRequest) {
         match &mut self.leadership {
             Some(leadership) => {
@@ -249,18 +256,18 @@
         }
     }
 
-    /// Called once what was taken before is on disk.
+    /// Records that all output taken so far is on disk.
     pub fn persisted(&mut self, now: f64) {
         self.raft.persisted();
         self.process(now);
     }
 
-    /// Takes what there is to write and to send.
+    /// Takes the pending records, messages and responses.
     pub fn take_output(&mut self) -> Ready<T> {
         Ready { raft: self.raft.take_output(), responses: std::mem::take(&mut self.responses) }
     }
 
-    /// The leader, where that is another voter.
+    /// The leader, if that is another voter.
     fn other_leader(&self) -> Option<HostNumber> {
         self.raft.leader().filter(|_| !self.raft.is_leader())
     }
@@ -282,7 +289,7 @@
 
     fn apply_committed(&mut self) {
         if self.raft.log().snapshot().index > self.applied {
-            // The leader sent a snapshot in place of entries that it no longer has.
+            // The leader sent a snapshot because it no longer holds the entries that are missing here.
             self.table = self.raft.snapshot_table().clone();
             self.applied = self.raft.log().snapshot().index;
         }
@@ -291,7 +298,7 @@
             for change in &entry.changes {
                 self.table.apply(change);
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.lease_manager.note_applied(change);
+                    leadership.lease_manager.record_applied(change);
                 }
             }
             self.applied += 1;
@@ -301,7 +308,8 @@
         }
     }
 
-    /// Begins to manage leases once this voter leads and knows all that was committed, and ends it when it leads no more.
+    /// Begins to manage leases once this voter is the leader and knows all committed entries, and stops when
+    /// it is no longer the leader.
     fn update_leadership(&mut self, now: f64) {
         if self.raft.has_committed_in_term() {
             let term = self.raft.term();
@@ -325,9 +333,9 @@
         let mut index = 0;
         if !changes.is_empty() {
             index = self.raft.propose(changes).unwrap_or(0);
-            leadership.proposed = index;
+            leadership.proposed_index = index;
         }
-        // One heartbeat carries the entries to all, and makes sure that this voter still leads.
+        // One heartbeat replicates the entries and confirms that this voter is still the leader.
         let heartbeat = self.raft.send_heartbeat(now);
         leadership.set_condition_of_new_requests(Condition { heartbeat, index });
         self.reject(rejected);
@@ -353,46 +361,49 @@
         }
     }
 
-    /// The outcome of a request by the present table; none where it gets no response.
+    /// The outcome of a request according to the current table; none if it gets no response.
     fn outcome(&mut self, now: f64, request: &LeaseRequest) -> Option<LeaseOutcome> {
         let leadership = self.leadership.as_mut()?;
-        let who = match admit(&self.table, request) {
-            Admission::Member(who) => who,
+        let member = match admit(&self.table, request) {
+            Admission::Member(member) => member,
             Admission::Join => return Some(LeaseOutcome::Refused(Refusal::Unknown)),
             Admission::Refused(refusal) => return Some(LeaseOutcome::Refused(refusal)),
         };
         let leases = &mut leadership.lease_manager;
-        if !leases.leases().contains_key(&who) {
-            // It has just joined: its first response has its incarnation, the next division its grants.
-            leases.handle_request(now, who, request);
+        if !leases.leases().contains_key(&member) {
+            // The process has just joined: this response carries its incarnation, and the next division makes
+            // its grants.
+            leases.handle_request(now, member, request);
             leadership.has_new_requests = true;
         }
-        if !leases.is_open(who) {
+        if !leases.is_renewable(member) {
             return None;
         }
-        leases.renew_lease(now, who);
-        Some(LeaseOutcome::Lease(leases.lease(who, request.base, &self.table)))
+        leases.renew_lease(now, member);
+        Some(LeaseOutcome::Lease(leases.lease(member, request.base, &self.table)))
     }
 }
 
-/// What the table says of the sender of a request.
+/// Whether the sender of a request may be served, according to the table.
 enum Admission {
     Member(Incarnation),
-    /// It has to join first.
+    /// The sender has to join first.
     Join,
     Refused(Refusal),
 }
 
 fn admit(table: &LeaseTable, request: &LeaseRequest) -> Admission {
     let (host, nonce) = (request.host, request.nonce);
-    let Some(who) = request.incarnation.or(table.incarnation(host, nonce)) else { return Admission::Join };
-    let is_member = table.members().get(&who).is_some_and(|m| m.host == host && m.nonce == nonce);
+    let Some(incarnation) = request.incarnation.or(table.incarnation(host, nonce)) else {
+        return Admission::Join;
+    };
+    let is_member = table.members().get(&incarnation).is_some_and(|m| m.host == host && m.nonce == nonce);
     if !is_member {
         return Admission::Refused(Refusal::Unknown);
     }
-    // Of two processes with one number the older gives way: the later one came after it, and perhaps in its place.
-    if table.latest(host) != Some(who) {
+    // Of two processes with the same host number the later one wins: it may have replaced the earlier one.
+    if table.latest(host) != Some(incarnation) {
         return Admission::Refused(Refusal::Superseded);
     }
-    Admission::Member(who)
+    Admission::Member(incarnation)
 }
--- a/crates/ledger/tests/raft.rs
+++ b/crates/ledger/tests/raft.rs
@@ -1,4 +1,4 @@
-//! Promises of one voter, one by one: what drawn fleets meet too seldom to be counted on.
+//! Raft rules of a single voter that simulated fleets exercise too rarely to rely on.
 
 use pearfork_ledger::raft::{Output, PersistentState, Raft, RaftMessage, RaftPayload};
 use pearfork_ledger::{Change, Entry, Fraction, HostNumber, LeaseTable, Times};
@@ -7,17 +7,17 @@
     (0..3).map(HostNumber).collect()
 }
 
-fn voter(image: &PersistentState, now: f64) -> Raft {
-    Raft::new(HostNumber(2), &voters(), Times::default(), 7, image.clone(), now)
+fn voter(disk: &PersistentState, now: f64) -> Raft {
+    Raft::new(HostNumber(2), &voters(), Times::default(), 7, disk.clone(), now)
 }
 
-/// Writes what has to be on disk, and gives what is said then.
-fn kept(image: &mut PersistentState, raft: &mut Raft) -> Vec<(HostNumber, RaftMessage)> {
+/// Writes the records to the disk and returns the messages to send.
+fn persist(disk: &mut PersistentState, raft: &mut Raft) -> Vec<(HostNumber, RaftMessage)> {
     let Output { records, rewrite, messages } = raft.take_output();
     if rewrite {
-        *image = raft.persistent_state();
+        *disk = raft.persistent_state();
     } else {
-        records.into_iter().for_each(|r| assert!(image.add(r)));
+        records.into_iter().for_each(|r| assert!(disk.apply(r)));
     }
     raft.persisted();
     messages
@@ -42,57 +42,57 @@
 }
 
 #[test]
-fn a_vote_outlives_a_crash() {
-    let mut image = PersistentState::default();
-    let mut v = voter(&image, 0.0);
+fn a_vote_survives_a_crash() {
+    let mut disk = PersistentState::default();
+    let mut v = voter(&disk, 0.0);
     send(&mut v, 0, 1, RaftPayload::VoteRequest { last_index: 0, last_term: 0 });
-    assert_eq!(kept(&mut image, &mut v)[0].1.payload, RaftPayload::VoteResponse(true));
-    let mut again = voter(&image, 1.0);
-    send(&mut again, 1, 1, RaftPayload::VoteRequest { last_index: 0, last_term: 0 });
+    assert_eq!(persist(&mut disk, &mut v)[0].1.payload, RaftPayload::VoteResponse(true));
+    let mut restarted = voter(&disk, 1.0);
+    send(&mut restarted, 1, 1, RaftPayload::VoteRequest { last_index: 0, last_term: 0 });
     assert_eq!(
-        kept(&mut image, &mut again)[0].1.payload,
+        persist(&mut disk, &mut restarted)[0].1.payload,
         RaftPayload::VoteResponse(false),
-        "two leaders of one term"
+        "a second candidate must not get a vote in the same term"
     );
-    send(&mut again, 0, 1, RaftPayload::VoteRequest { last_index: 0, last_term: 0 });
+    send(&mut restarted, 0, 1, RaftPayload::VoteRequest { last_index: 0, last_term: 0 });
     assert_eq!(
-        kept(&mut image, &mut again)[0].1.payload,
+        persist(&mut disk, &mut restarted)[0].1.payload,
         RaftPayload::VoteResponse(true),
-        "the same one may ask twice"
+        "the same candidate gets the vote again"
     );
 }
 
 #[test]
 fn a_log_that_lacks_entries_gets_no_vote() {
-    let mut image = PersistentState::default();
-    let mut v = voter(&image, 0.0);
+    let mut disk = PersistentState::default();
+    let mut v = voter(&disk, 0.0);
     send(&mut v, 0, 1, append((0, 0), vec![entry(1, 1), entry(1, 2)], 0));
-    kept(&mut image, &mut v);
+    persist(&mut disk, &mut v);
     send(&mut v, 1, 2, RaftPayload::VoteRequest { last_index: 1, last_term: 1 });
-    assert_eq!(kept(&mut image, &mut v)[0].1.payload, RaftPayload::VoteResponse(false));
+    assert_eq!(persist(&mut disk, &mut v)[0].1.payload, RaftPayload::VoteResponse(false));
 }
 
-/// Danger: entries after the snapshot's may be agreed on already, with this voter's word for it.
+/// Entries after those that the snapshot covers may be committed, with this voter counted in the quorum.
 #[test]
-fn a_snapshot_older_than_the_log_takes_nothing_away() {
-    let mut image = PersistentState::default();
-    let mut v = voter(&image, 0.0);
-    let four = (1..=4).map(|n| entry(1, n)).collect();
-    send(&mut v, 0, 1, append((0, 0), four, 3));
-    kept(&mut image, &mut v);
+fn a_snapshot_older_than_the_log_removes_no_entries() {
+    let mut disk = PersistentState::default();
+    let mut v = voter(&disk, 0.0);
+    let entries = (1..=4).map(|n| entry(1, n)).collect();
+    send(&mut v, 0, 1, append((0, 0), entries, 3));
+    persist(&mut disk, &mut v);
     for (index, index_term) in [(2, 1), (1, 9), (3, 1)] {
         let table = LeaseTable::new(Fraction::from_f64(0.5));
         send(&mut v, 0, 1, RaftPayload::InstallSnapshot { index, index_term, table, heartbeat: 2 });
-        kept(&mut image, &mut v);
+        persist(&mut disk, &mut v);
         assert_eq!((v.log().last_index(), v.commit()), (4, 3), "after a snapshot of {index}");
     }
-    assert_eq!(voter(&image, 1.0).log().last_index(), 4);
+    assert_eq!(voter(&disk, 1.0).log().last_index(), 4);
 }
 
 #[test]
-fn a_snapshot_beyond_the_log_takes_its_place() {
-    let mut image = PersistentState::default();
-    let mut v = voter(&image, 0.0);
+fn a_snapshot_beyond_the_log_replaces_it() {
+    let mut disk = PersistentState::default();
+    let mut v = voter(&disk, 0.0);
     send(&mut v, 0, 1, append((0, 0), vec![entry(1, 1)], 0));
     let table = LeaseTable::new(Fraction::from_f64(0.5));
     send(
@@ -101,53 +101,54 @@
         3,
         RaftPayload::InstallSnapshot { index: 9, index_term: 3, table: table.clone(), heartbeat: 2 },
     );
-    kept(&mut image, &mut v);
+    persist(&mut disk, &mut v);
     assert_eq!((v.log().last_index(), v.commit(), v.snapshot_table()), (9, 9, &table));
-    let again = voter(&image, 1.0);
-    assert_eq!((again.log().last_index(), again.log().last_term(), again.term()), (9, 3, 3));
+    let restarted = voter(&disk, 1.0);
+    assert_eq!((restarted.log().last_index(), restarted.log().last_term(), restarted.term()), (9, 3, 3));
 }
 
 #[test]
-fn what_a_later_leader_says_takes_the_place_of_what_was_not_agreed() {
-    let mut image = PersistentState::default();
-    let mut v = voter(&image, 0.0);
+fn entries_of_a_later_leader_replace_uncommitted_ones() {
+    let mut disk = PersistentState::default();
+    let mut v = voter(&disk, 0.0);
     send(&mut v, 0, 1, append((0, 0), vec![entry(1, 1), entry(1, 2), entry(1, 3)], 1));
-    kept(&mut image, &mut v);
-    // The later one does not have the second entry; and asks after one that is not here first.
+    persist(&mut disk, &mut v);
+    // The new leader does not have the second entry. Its first request is for an index that this voter does
+    // not have.
     send(&mut v, 1, 2, append((7, 2), Vec::new(), 0));
-    let told = kept(&mut image, &mut v);
+    let responses = persist(&mut disk, &mut v);
     assert!(
-        matches!(told[0].1.payload, RaftPayload::AppendResponse { success: false, index: 3, .. }),
-        "{told:?}"
+        matches!(responses[0].1.payload, RaftPayload::AppendResponse { success: false, index: 3, .. }),
+        "{responses:?}"
     );
     send(&mut v, 1, 2, append((1, 1), vec![entry(2, 9)], 2));
-    kept(&mut image, &mut v);
+    persist(&mut disk, &mut v);
     assert_eq!((v.log().last_index(), v.log().last_term(), v.commit()), (2, 2, 2));
-    assert_eq!(voter(&image, 1.0).log().last_term(), 2);
-    // An earlier leader that wakes is told that it is none.
+    assert_eq!(voter(&disk, 1.0).log().last_term(), 2);
+    // A deposed leader gets a response with the higher term.
     send(&mut v, 0, 1, append((3, 1), Vec::new(), 3));
-    let told = kept(&mut image, &mut v);
+    let responses = persist(&mut disk, &mut v);
     assert!(
-        told[0].1.term == 2
-            && matches!(told[0].1.payload, RaftPayload::AppendResponse { success: false, .. })
+        responses[0].1.term == 2
+            && matches!(responses[0].1.payload, RaftPayload::AppendResponse { success: false, .. })
     );
 }
 
-/// Danger: a leader that counts what its own disk may yet lose can agree on an entry that is on one disk alone.
+/// A leader that counted entries its own disk may still lose could commit an entry that is on one disk only.
 #[test]
-fn a_leader_counts_itself_only_for_what_is_on_its_disk() {
-    let mut image = PersistentState::default();
-    let mut v = voter(&image, 0.0);
+fn a_leader_counts_itself_only_for_entries_on_its_disk() {
+    let mut disk = PersistentState::default();
+    let mut v = voter(&disk, 0.0);
     v.tick(10_000.0);
     send(&mut v, 0, 1, RaftPayload::PreVoteResponse(true));
     send(&mut v, 0, 1, RaftPayload::VoteResponse(true));
     assert!(v.is_leader());
-    kept(&mut image, &mut v);
+    persist(&mut disk, &mut v);
     send(&mut v, 0, 1, RaftPayload::AppendResponse { success: true, index: 1, heartbeat: 1 });
     assert_eq!(v.commit(), 1);
     v.propose(Vec::new());
     send(&mut v, 0, 1, RaftPayload::AppendResponse { success: true, index: 2, heartbeat: 1 });
-    assert_eq!(v.commit(), 1, "on one disk of three");
-    kept(&mut image, &mut v);
+    assert_eq!(v.commit(), 1, "the entry is on one disk of three");
+    persist(&mut disk, &mut v);
     assert_eq!(v.commit(), 2);
 }
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -1,6 +1,7 @@
-//! The real state machines of a fleet on a drawn clock: links that lose, double, delay and break, processes that crash,
-//! stand still and come back, disks that fill up, clocks that run apart. After every step, all that any process may
-//! use is added up.
+//! A deterministic simulation of a fleet with the real state machines and a simulated clock. Links lose,
+//! duplicate, delay and cut off messages, processes crash, pause and restart, disks fill up, and clocks
+//! drift. After every step the simulation checks that the processes may together use no more than the
+//! lendable fraction.
 #![allow(dead_code)]
 
 use pearfork_ledger::raft::{PersistentState, RaftMessage};
@@ -11,11 +12,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Draws from a seed (xorshift64*).
+/// A seeded random number generator (xorshift64*).
 #[derive(Clone)]
-pub struct Draw(pub u64);
+pub struct Rng(pub u64);
 
-impl Draw {
+impl Rng {
     pub fn next(&mut self) -> f64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
@@ -32,39 +33,43 @@
     }
 }
 
-/// How links behave.
+/// Behaviour of all links. The rates are probabilities per message.
 #[derive(Clone, Copy)]
-pub struct Net {
-    pub delay: (f64, f64),
-    pub lost: f64,
-    pub doubled: f64,
-    /// A copy that comes very late.
-    pub stale: f64,
+pub struct LinkModel {
+    /// Minimum and maximum delay.
+    pub delay_ms: (f64, f64),
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
+    /// Rate of copies that arrive seconds to a minute later.
+    pub stale_rate: f64,
 }
 
-pub const GOOD: Net = Net { delay: (0.2, 2.0), lost: 0.0, doubled: 0.0, stale: 0.0 };
-pub const BAD: Net = Net { delay: (0.2, 120.0), lost: 0.15, doubled: 0.1, stale: 0.02 };
+pub const RELIABLE: LinkModel =
+    LinkModel { delay_ms: (0.2, 2.0), loss_rate: 0.0, duplication_rate: 0.0, stale_rate: 0.0 };
+pub const UNRELIABLE: LinkModel =
+    LinkModel { delay_ms: (0.2, 120.0), loss_rate: 0.15, duplication_rate: 0.1, stale_rate: 0.02 };
 
 #[derive(Clone)]
-enum What {
+enum EventKind {
     Raft { to: usize, from: HostNumber, message: RaftMessage },
-    LeaseRequest { to: usize, from: (usize, u64), ask: LeaseRequest },
-    LeaseResponse { to: (usize, u64), answer: LeaseResponse },
-    VoterDue { voter: usize, life: u64 },
-    HolderDue { process: u64 },
-    Adopt { process: u64, portions: Vec<Portion>, unconfirmed: Vec<(Budget, Allocation)> },
-    DiskAgain { voter: usize },
+    LeaseRequest { to: usize, from: (usize, u64), request: LeaseRequest },
+    LeaseResponse { to: (usize, u64), response: LeaseResponse },
+    VoterTimer { voter: usize, generation: u64 },
+    HolderTimer { process: u64 },
+    ApplyShares { process: u64, shares: Vec<Share>, unconfirmed: Vec<(Budget, Allocation)> },
+    RetryDisk { voter: usize },
 }
 
-/// What whoever sends goes by, as it was told: a part, and the end of the lease that it is of.
+/// A share as the consumer of a budget applied it: the leased fraction and when the lease expires.
 #[derive(Clone)]
-struct Portion {
+struct Share {
     budget: Budget,
     fraction: Fraction,
-    until_ms: f64,
+    expires_at: f64,
 }
 
-struct Event(f64, u64, What);
+/// An event: its time, a number that orders events with the same time, and what happens.
+struct Event(f64, u64, EventKind);
 
 impl PartialEq for Event {
     fn eq(&self, other: &Self) -> bool {
@@ -86,146 +91,151 @@
 pub struct Process {
     pub host: usize,
     holder: Holder,
-    /// What whoever sends goes by.
-    used: BTreeMap<Budget, Portion>,
-    still_until: f64,
-    /// Whoever sends takes up one word after the other.
-    adopts_at: f64,
-    leader: usize,
-    silent: u32,
+    /// The shares that the consumer applied last.
+    shares: BTreeMap<Budget, Share>,
+    paused_until: f64,
+    /// When the consumer applies the last update. Updates are applied in order.
+    applies_at: f64,
+    /// The voter that requests go to.
+    voter: usize,
+    /// Number of requests without a response.
+    unanswered: u32,
     pub demand: BTreeMap<Budget, f64>,
-    /// The least part that is of use to it.
-    pub least: f64,
+    /// Smallest useful fraction of a budget.
+    pub min_fraction: f64,
 }
 
-struct Seat {
+struct VoterSlot {
     voter: Option<Voter<(usize, u64)>>,
     disk: PersistentState,
-    disk_bad: bool,
-    life: u64,
-    still_until: f64,
-    /// When it is to be woken; an earlier wish takes the place of a later one.
-    due: f64,
-    /// The life and the agreed entry that were looked at last.
-    seen: std::cell::Cell<(u64, u64)>,
+    disk_failing: bool,
+    /// Counts starts and stops, so that timers of an earlier run are ignored.
+    generation: u64,
+    paused_until: f64,
+    /// When the next timer fires; later ones are ignored.
+    timer_at: f64,
+    /// The generation and commit index that were checked last.
+    checked: std::cell::Cell<(u64, u64)>,
 }
 
-/// A fleet.
-pub struct World {
+/// A simulated fleet.
+pub struct SimFleet {
     pub now: f64,
-    pub draw: Draw,
-    pub net: Net,
+    pub rng: Rng,
+    pub links: LinkModel,
     pub times: Times,
     pub lendable: Fraction,
     pub hosts: usize,
-    seats: Vec<Seat>,
+    slots: Vec<VoterSlot>,
     pub processes: BTreeMap<u64, Process>,
-    rates: Vec<f64>,
-    cut: BTreeSet<(usize, usize)>,
+    clock_rates: Vec<f64>,
+    cut_links: BTreeSet<(usize, usize)>,
     events: BinaryHeap<Reverse<Event>>,
-    number: u64,
+    event_number: u64,
     next_process: u64,
     pub messages: u64,
-    /// Bytes of messages as they would go over sockets, where they are counted.
+    /// Bytes of the messages with their frame headers; none if they are not counted.
     pub bytes: Option<u64>,
-    /// The invariant is asked at one event in so many.
+    /// The invariants are checked after every this many events.
     pub check_every: u64,
-    /// Whoever sends goes by a new part within this time.
-    pub adopt_ms: f64,
+    /// The consumer applies a new share within this time.
+    pub max_apply_delay_ms: f64,
     steps: u64,
-    pub worst: f64,
-    /// Every agreed entry that any voter applied, to see that no two differ.
-    agreed: BTreeMap<u64, String>,
+    /// Largest fraction of a budget that was usable at any check.
+    pub max_in_use: f64,
+    /// Committed entries by index, to check that no two voters commit different ones.
+    committed: BTreeMap<u64, String>,
 }
 
-impl World {
-    pub fn new(seed: u64, hosts: usize, voters: usize) -> World {
+impl SimFleet {
+    pub fn new(seed: u64, hosts: usize, voters: usize) -> SimFleet {
         let lendable = Fraction::from_f64(0.97);
-        let seat = || Seat {
+        let slot = || VoterSlot {
             voter: None,
             disk: PersistentState { table: LeaseTable::new(lendable), ..PersistentState::default() },
-            disk_bad: false,
-            life: 0,
-            still_until: 0.0,
-            due: f64::INFINITY,
-            seen: std::cell::Cell::default(),
+            disk_failing: false,
+            generation: 0,
+            paused_until: 0.0,
+            timer_at: f64::INFINITY,
+            checked: std::cell::Cell::default(),
         };
-        let mut world = World {
+        let mut fleet = SimFleet {
             now: 0.0,
-            draw: Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
-            net: GOOD,
+            rng: Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+            links: RELIABLE,
             times: Times::default(),
             lendable,
             hosts,
-            seats: (0..voters).map(|_| seat()).collect(),
+            slots: (0..voters).map(|_| slot()).collect(),
             processes: BTreeMap::new(),
-            rates: vec![1.0; hosts],
-            cut: BTreeSet::new(),
+            clock_rates: vec![1.0; hosts],
+            cut_links: BTreeSet::new(),
             events: BinaryHeap::new(),
-            number: 0,
+            event_number: 0,
             next_process: 1,
             messages: 0,
             bytes: None,
             check_every: 1,
-            adopt_ms: 30.0,
+            max_apply_delay_ms: 30.0,
             steps: 0,
-            worst: 0.0,
-            agreed: BTreeMap::new(),
+            max_in_use: 0.0,
+            committed: BTreeMap::new(),
         };
-        (0..voters).for_each(|v| world.start_voter(v));
-        world
+        (0..voters).for_each(|v| fleet.start_voter(v));
+        fleet
     }
 
-    fn local(&self, host: usize) -> f64 {
-        self.now * self.rates[host]
+    fn local_time(&self, host: usize) -> f64 {
+        self.now * self.clock_rates[host]
     }
 
-    /// A host's clock runs at this rate from the start; set before anything began.
-    pub fn clock(&mut self, host: usize, rate: f64) {
-        self.rates[host] = rate;
-        if host < self.seats.len() {
+    /// Sets the rate of a host's clock. Must be called before the simulation runs.
+    pub fn set_clock_rate(&mut self, host: usize, rate: f64) {
+        self.clock_rates[host] = rate;
+        if host < self.slots.len() {
             self.kill_voter(host);
             self.start_voter(host);
         }
     }
 
-    fn at(&mut self, at: f64, what: What) {
-        self.number += 1;
-        self.events.push(Reverse(Event(at, self.number, what)));
+    fn schedule(&mut self, at: f64, kind: EventKind) {
+        self.event_number += 1;
+        self.events.push(Reverse(Event(at, self.event_number, kind)));
     }
 
     pub fn voters(&self) -> usize {
-        self.seats.len()
+        self.slots.len()
     }
 
     pub fn start_voter(&mut self, v: usize) {
-        let voters: Vec<HostNumber> = (0..self.seats.len()).map(|v| HostNumber(v as u16)).collect();
-        let seed = self.draw.next().to_bits();
-        let (times, local) = (self.times, self.local(v));
-        let seat = &mut self.seats[v];
-        if seat.voter.is_some() || seat.disk_bad {
+        let voters: Vec<HostNumber> = (0..self.slots.len()).map(|v| HostNumber(v as u16)).collect();
+        let seed = self.rng.next().to_bits();
+        let (times, local) = (self.times, self.local_time(v));
+        let slot = &mut self.slots[v];
+        if slot.voter.is_some() || slot.disk_failing {
             return;
         }
-        seat.life += 1;
-        seat.due = f64::INFINITY;
-        let voter = Voter::new(HostNumber(v as u16), &voters, times, seed, seat.disk.clone(), local);
-        // Snapshots early and often: what is cut off is where a log can go wrong.
-        seat.voter = Some(voter.compacting_after(12));
+        slot.generation += 1;
+        slot.timer_at = f64::INFINITY;
+        let voter = Voter::new(HostNumber(v as u16), &voters, times, seed, slot.disk.clone(), local);
+        // The log is compacted early and often, to exercise snapshots.
+        slot.voter = Some(voter.with_compact_after(12));
         self.voter_step(v, |_, _| {});
     }
 
-    /// What was not on disk is lost.
+    /// Kills a voter; what is not on its disk is lost.
     pub fn kill_voter(&mut self, v: usize) {
-        self.seats[v].voter = None;
-        self.seats[v].life += 1;
+        self.slots[v].voter = None;
+        self.slots[v].generation += 1;
     }
 
-    /// The disk takes no more; a voter that has to write then stops, and goes on when there is room.
-    pub fn disk(&mut self, v: usize, bad: bool) {
-        self.seats[v].disk_bad = bad;
+    /// Makes a disk reject writes. A voter that has to write then stops, and restarts once the disk accepts
+    /// writes again.
+    pub fn set_disk_failing(&mut self, v: usize, is_failing: bool) {
+        self.slots[v].disk_failing = is_failing;
     }
 
-    /// Starts a process of a host's holder, beside any that is there.
+    /// Starts a holder process of a host, in addition to any existing one.
     pub fn start_host(&mut self, host: usize) -> u64 {
         let id = self.next_process;
         self.next_process += 1;
@@ -233,16 +243,16 @@
         let process = Process {
             host,
             holder: Holder::new(HostNumber(host as u16), nonce, self.times),
-            used: BTreeMap::new(),
-            still_until: 0.0,
-            adopts_at: 0.0,
-            leader: host % self.seats.len(),
-            silent: 0,
+            shares: BTreeMap::new(),
+            paused_until: 0.0,
+            applies_at: 0.0,
+            voter: host % self.slots.len(),
+            unanswered: 0,
             demand: BTreeMap::new(),
-            least: 0.001,
+            min_fraction: 0.001,
         };
         self.processes.insert(id, process);
-        self.at(self.now, What::HolderDue { process: id });
+        self.schedule(self.now, EventKind::HolderTimer { process: id });
         id
     }
 
@@ -250,85 +260,87 @@
         self.processes.remove(&process);
     }
 
-    /// The process of a host that has its name: of two that claim it, the one that joined last.
-    pub fn named(&self, host: usize) -> Option<u64> {
-        let has = |p: &Process| p.host == host && !p.holder.state().superseded;
-        self.processes.iter().rev().find(|(_, p)| has(p)).map(|(id, _)| *id)
+    /// The process of a host that is not superseded; the one that started last if there are several.
+    pub fn current_process(&self, host: usize) -> Option<u64> {
+        let is_current = |p: &Process| p.host == host && !p.holder.state().superseded;
+        self.processes.iter().rev().find(|(_, p)| is_current(p)).map(|(id, _)| *id)
     }
 
-    /// All that a machine runs stands still.
-    pub fn stand_still(&mut self, host: usize, ms: f64) {
+    /// Pauses the voter and all processes of a host.
+    pub fn pause_host(&mut self, host: usize, ms: f64) {
         let until = self.now + ms;
-        if host < self.seats.len() {
-            self.seats[host].still_until = until;
+        if host < self.slots.len() {
+            self.slots[host].paused_until = until;
         }
-        self.processes.values_mut().filter(|p| p.host == host).for_each(|p| p.still_until = until);
+        self.processes.values_mut().filter(|p| p.host == host).for_each(|p| p.paused_until = until);
     }
 
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
-        if cut {
-            self.cut.insert((from, to));
+    pub fn set_link_cut(&mut self, from: usize, to: usize, is_cut: bool) {
+        if is_cut {
+            self.cut_links.insert((from, to));
         } else {
-            self.cut.remove(&(from, to));
+            self.cut_links.remove(&(from, to));
         }
     }
 
-    pub fn heal(&mut self) {
-        self.cut.clear();
+    pub fn heal_links(&mut self) {
+        self.cut_links.clear();
     }
 
-    pub fn want(&mut self, process: u64, budget: &Budget, demand: f64) {
+    pub fn set_demand(&mut self, process: u64, budget: &Budget, demand: f64) {
         if let Some(p) = self.processes.get_mut(&process) {
             p.demand.insert(budget.clone(), demand);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, what: What) {
+    /// Sends a message over a link, which may lose, delay or duplicate it.
+    fn send(&mut self, from: usize, to: usize, kind: EventKind) {
         self.messages += 1;
         if let Some(bytes) = &mut self.bytes {
-            let length = match &what {
-                What::Raft { message, .. } => serde_json::to_vec(message),
-                What::LeaseRequest { ask, .. } => serde_json::to_vec(ask),
-                What::LeaseResponse { answer, .. } => serde_json::to_vec(answer),
+            let length = match &kind {
+                EventKind::Raft { message, .. } => serde_json::to_vec(message),
+                EventKind::LeaseRequest { request, .. } => serde_json::to_vec(request),
+                EventKind::LeaseResponse { response, .. } => serde_json::to_vec(response),
                 _ => Ok(Vec::new()),
             };
             *bytes += length.map_or(0, |b| b.len() as u64 + 8);
         }
-        if self.cut.contains(&(from, to)) || self.draw.next() < self.net.lost {
+        if self.cut_links.contains(&(from, to)) || self.rng.next() < self.links.loss_rate {
             return;
         }
-        let delay = self.draw.between(self.net.delay.0, self.net.delay.1);
-        if self.draw.next() < self.net.doubled {
-            let later = self.draw.between(0.0, 300.0);
-            self.at(self.now + delay + later, what.clone());
+        let delay = self.rng.between(self.links.delay_ms.0, self.links.delay_ms.1);
+        if self.rng.next() < self.links.duplication_rate {
+            let later = self.rng.between(0.0, 300.0);
+            self.schedule(self.now + delay + later, kind.clone());
         }
-        if self.draw.next() < self.net.stale {
-            let later = self.draw.between(2_000.0, 60_000.0);
-            self.at(self.now + delay + later, what.clone());
+        if self.rng.next() < self.links.stale_rate {
+            let later = self.rng.between(2_000.0, 60_000.0);
+            self.schedule(self.now + delay + later, kind.clone());
         }
-        self.at(self.now + delay, what);
+        self.schedule(self.now + delay, kind);
     }
 
+    /// Runs a step of a voter, then writes and sends its output.
     fn voter_step(&mut self, v: usize, step: impl FnOnce(&mut Voter<(usize, u64)>, f64)) {
-        let local = self.local(v);
-        let seat = &mut self.seats[v];
-        let Some(voter) = &mut seat.voter else { return };
+        let local = self.local_time(v);
+        let slot = &mut self.slots[v];
+        let Some(voter) = &mut slot.voter else { return };
         step(voter, local);
         loop {
             let ready = voter.take_output();
             let writes = ready.raft.rewrite || !ready.raft.records.is_empty();
             if writes {
-                if seat.disk_bad {
-                    // Nothing of this is said: it is as if the process had crashed before.
+                if slot.disk_failing {
+                    // Nothing is sent: the effect is that of a crash before the step.
                     self.kill_voter(v);
-                    self.at(self.now + 500.0, What::DiskAgain { voter: v });
+                    self.schedule(self.now + 500.0, EventKind::RetryDisk { voter: v });
                     return;
                 }
                 if ready.raft.rewrite {
-                    seat.disk = voter.raft().persistent_state();
+                    slot.disk = voter.raft().persistent_state();
                 } else {
                     for record in ready.raft.records {
-                        assert!(seat.disk.add(record), "a record that does not follow");
+                        assert!(slot.disk.apply(record), "a record that does not continue the state");
                     }
                 }
                 voter.persisted(local);
@@ -337,137 +349,141 @@
             let from = HostNumber(v as u16);
             for (to, message) in ready.raft.messages {
                 let to = usize::from(to.0);
-                self.number += 1;
-                let what = What::Raft { to, from, message };
-                // A detour past the borrow of the seat.
-                self.events.push(Reverse(Event(-1.0, self.number, what)));
+                self.event_number += 1;
+                let kind = EventKind::Raft { to, from, message };
+                // `slot` is borrowed here: the messages are queued with a negative time and sent below.
+                self.events.push(Reverse(Event(-1.0, self.event_number, kind)));
             }
-            for (to, answer) in ready.responses {
-                self.number += 1;
-                self.events.push(Reverse(Event(-1.0, self.number, What::LeaseResponse { to, answer })));
+            for (to, response) in ready.responses {
+                self.event_number += 1;
+                self.events.push(Reverse(Event(
+                    -1.0,
+                    self.event_number,
+                    EventKind::LeaseResponse { to, response },
+                )));
             }
             if done {
                 break;
             }
         }
-        let (due, life) = (voter.next_deadline(), seat.life);
+        let (due, generation) = (voter.next_deadline(), slot.generation);
         while let Some(Reverse(Event(at, ..))) = self.events.peek() {
             if *at >= 0.0 {
                 break;
             }
-            let Some(Reverse(Event(.., what))) = self.events.pop() else { break };
-            let to = match &what {
-                What::Raft { to, .. } => *to,
-                What::LeaseResponse { to, .. } => to.0,
+            let Some(Reverse(Event(.., kind))) = self.events.pop() else { break };
+            let to = match &kind {
+                EventKind::Raft { to, .. } => *to,
+                EventKind::LeaseResponse { to, .. } => to.0,
                 _ => continue,
             };
-            self.send(v, to, what);
+            self.send(v, to, kind);
         }
-        let due = (due / self.rates[v]).max(self.now + 0.1);
-        if due < self.seats[v].due {
-            self.seats[v].due = due;
-            self.at(due, What::VoterDue { voter: v, life });
+        let due = (due / self.clock_rates[v]).max(self.now + 0.1);
+        if due < self.slots[v].timer_at {
+            self.slots[v].timer_at = due;
+            self.schedule(due, EventKind::VoterTimer { voter: v, generation });
         }
     }
 
-    fn holder_due(&mut self, id: u64) {
+    fn run_holder(&mut self, id: u64) {
         let Some(p) = self.processes.get_mut(&id) else { return };
-        if p.still_until > self.now {
-            let at = p.still_until;
-            return self.at(at, What::HolderDue { process: id });
+        if p.paused_until > self.now {
+            let at = p.paused_until;
+            return self.schedule(at, EventKind::HolderTimer { process: id });
         }
-        let (host, to) = (p.host, p.leader);
+        let (host, to) = (p.host, p.voter);
         for (budget, demand) in &p.demand {
-            p.holder.set_demand(budget, Fraction::from_f64(*demand), Fraction::from_f64(p.least), 0);
+            p.holder.set_demand(budget, Fraction::from_f64(*demand), Fraction::from_f64(p.min_fraction), 0);
         }
-        p.silent += 1;
-        if p.silent > 2 {
-            // No answer from there: the next one may know more.
-            p.leader = (p.leader + 1) % self.seats.len();
+        p.unanswered += 1;
+        if p.unanswered > 2 {
+            // No response from this voter: try the next one.
+            p.voter = (p.voter + 1) % self.slots.len();
         }
-        let local = self.now * self.rates[host];
-        let next = self.now + self.times.renew_ms / self.rates[host];
+        let local = self.now * self.clock_rates[host];
+        let next = self.now + self.times.renew_ms / self.clock_rates[host];
         if p.holder.should_request() {
-            let ask = p.holder.next_request(local);
-            self.send(host, to, What::LeaseRequest { to, from: (host, id), ask });
+            let request = p.holder.next_request(local);
+            self.send(host, to, EventKind::LeaseRequest { to, from: (host, id), request });
         }
-        self.at(next, What::HolderDue { process: id });
+        self.schedule(next, EventKind::HolderTimer { process: id });
     }
 
-    fn answered(&mut self, id: u64, answer: &LeaseResponse) {
+    fn handle_response(&mut self, id: u64, response: &LeaseResponse) {
         use pearfork_ledger::Refusal;
         let Some(p) = self.processes.get_mut(&id) else { return };
-        let local = self.now * self.rates[p.host];
-        match &answer.outcome {
-            LeaseOutcome::Refused(Refusal::NotLeader(Some(leader))) => p.leader = usize::from(leader.0),
+        let local = self.now * self.clock_rates[p.host];
+        match &response.outcome {
+            LeaseOutcome::Refused(Refusal::NotLeader(Some(leader))) => p.voter = usize::from(leader.0),
             LeaseOutcome::Refused(Refusal::NotLeader(None)) => {}
-            _ => p.silent = 0,
+            _ => p.unanswered = 0,
         }
-        p.holder.handle_response(local, answer);
-        // All that is held goes to whoever sends with each answer, as a host's client does it.
-        let portion = |(budget, held): (&Budget, Held)| Portion {
+        p.holder.handle_response(local, response);
+        // As in a host, each response passes all shares to the consumer.
+        let share = |(budget, held): (&Budget, Held)| Share {
             budget: budget.clone(),
             fraction: held.fraction,
-            until_ms: held.until_ms,
+            expires_at: held.expires_at,
         };
-        let portions = p.holder.all_held().map(portion).collect();
+        let shares = p.holder.all_held().map(share).collect();
         let unconfirmed = p.holder.unconfirmed();
-        let later = self.now + self.draw.between(0.0, self.adopt_ms);
+        let later = self.now + self.rng.between(0.0, self.max_apply_delay_ms);
         let Some(p) = self.processes.get_mut(&id) else { return };
-        p.adopts_at = p.adopts_at.max(later);
-        let when = p.adopts_at;
-        self.at(when, What::Adopt { process: id, portions, unconfirmed });
+        p.applies_at = p.applies_at.max(later);
+        let applies_at = p.applies_at;
+        self.schedule(applies_at, EventKind::ApplyShares { process: id, shares, unconfirmed });
     }
 
-    /// One event; false where none is left.
+    /// Handles one event. Returns false if none is left.
     pub fn step(&mut self) -> bool {
-        let Some(Reverse(Event(at, _, what))) = self.events.pop() else { return false };
+        let Some(Reverse(Event(at, _, kind))) = self.events.pop() else { return false };
         self.now = self.now.max(at);
-        match what {
-            What::Raft { to, from, message } => {
-                if !self.put_off(to, What::Raft { to, from, message: message.clone() }) {
+        match kind {
+            EventKind::Raft { to, from, message } => {
+                if !self.defer_if_paused(to, EventKind::Raft { to, from, message: message.clone() }) {
                     self.voter_step(to, |v, now| v.handle_message(now, from, message));
                 }
             }
-            What::LeaseRequest { to, from, ask } => {
-                if !self.put_off(to, What::LeaseRequest { to, from, ask: ask.clone() }) {
-                    self.voter_step(to, |v, now| v.handle_request(now, from, ask));
+            EventKind::LeaseRequest { to, from, request } => {
+                if !self.defer_if_paused(to, EventKind::LeaseRequest { to, from, request: request.clone() }) {
+                    self.voter_step(to, |v, now| v.handle_request(now, from, request));
                 }
             }
-            What::VoterDue { voter, life } => {
-                let again = What::VoterDue { voter, life };
-                let seat = &mut self.seats[voter];
-                if seat.life != life || at > seat.due {
+            EventKind::VoterTimer { voter, generation } => {
+                let again = EventKind::VoterTimer { voter, generation };
+                let slot = &mut self.slots[voter];
+                if slot.generation != generation || at > slot.timer_at {
                     return true;
                 }
-                if self.put_off(voter, again) {
-                    self.seats[voter].due = self.seats[voter].still_until;
+                if self.defer_if_paused(voter, again) {
+                    self.slots[voter].timer_at = self.slots[voter].paused_until;
                 } else {
-                    self.seats[voter].due = f64::INFINITY;
+                    self.slots[voter].timer_at = f64::INFINITY;
                     self.voter_step(voter, |v, now| v.tick(now));
                 }
             }
-            What::LeaseResponse { to, answer } => match self.processes.get(&to.1) {
-                Some(p) if p.still_until > self.now => {
-                    self.at(p.still_until, What::LeaseResponse { to, answer });
+            EventKind::LeaseResponse { to, response } => match self.processes.get(&to.1) {
+                Some(p) if p.paused_until > self.now => {
+                    self.schedule(p.paused_until, EventKind::LeaseResponse { to, response });
                 }
-                _ => self.answered(to.1, &answer),
+                _ => self.handle_response(to.1, &response),
             },
-            What::HolderDue { process } => self.holder_due(process),
-            What::Adopt { process, portions, unconfirmed } => {
-                let still = self.processes.get(&process).map_or(0.0, |p| p.still_until);
-                if still > self.now {
-                    self.at(still, What::Adopt { process, portions, unconfirmed });
+            EventKind::HolderTimer { process } => self.run_holder(process),
+            EventKind::ApplyShares { process, shares, unconfirmed } => {
+                let paused_until = self.processes.get(&process).map_or(0.0, |p| p.paused_until);
+                if paused_until > self.now {
+                    self.schedule(paused_until, EventKind::ApplyShares { process, shares, unconfirmed });
                 } else if let Some(p) = self.processes.get_mut(&process) {
-                    p.used.extend(portions.into_iter().map(|portion| (portion.budget.clone(), portion)));
+                    p.shares.extend(shares.into_iter().map(|share| (share.budget.clone(), share)));
                     for (budget, allocation) in unconfirmed {
                         p.holder.confirm(&budget, allocation);
                     }
                 }
             }
-            What::DiskAgain { voter } => {
-                if self.seats[voter].disk_bad {
-                    self.at(self.now + 500.0, What::DiskAgain { voter });
+            EventKind::RetryDisk { voter } => {
+                if self.slots[voter].disk_failing {
+                    self.schedule(self.now + 500.0, EventKind::RetryDisk { voter });
                 } else {
                     self.start_voter(voter);
                 }
@@ -480,10 +496,11 @@
         true
     }
 
-    fn put_off(&mut self, voter: usize, what: What) -> bool {
-        let until = self.seats[voter].still_until;
+    /// Reschedules an event for a paused voter. Returns whether the voter is paused.
+    fn defer_if_paused(&mut self, voter: usize, kind: EventKind) -> bool {
+        let until = self.slots[voter].paused_until;
         if until > self.now {
-            self.at(until, what);
+            self.schedule(until, kind);
         }
         until > self.now
     }
@@ -496,66 +513,68 @@
         self.now = until;
     }
 
-    /// Whether a lease is on its way to a process.
-    pub fn is_lease_under_way(&self, process: u64) -> bool {
-        let is_it = |what: &What| match what {
-            What::LeaseResponse { to, answer } => {
-                to.1 == process && matches!(answer.outcome, LeaseOutcome::Lease(_))
+    /// Whether a response with a lease for a process is in flight.
+    pub fn is_lease_in_flight(&self, process: u64) -> bool {
+        let is_lease = |kind: &EventKind| match kind {
+            EventKind::LeaseResponse { to, response } => {
+                to.1 == process && matches!(response.outcome, LeaseOutcome::Lease(_))
             }
             _ => false,
         };
-        self.events.iter().any(|Reverse(Event(.., what))| is_it(what))
+        self.events.iter().any(|Reverse(Event(.., kind))| is_lease(kind))
     }
 
-    /// What a process may use of a budget now, beyond its floor.
+    /// The fraction of a budget that a process may use now, beyond its floor.
     pub fn usable(&self, id: u64, budget: &Budget) -> Fraction {
         let Some(p) = self.processes.get(&id) else { return Fraction::ZERO };
-        let valid = p.used.get(budget).filter(|portion| self.local(p.host) < portion.until_ms);
-        valid.map_or(Fraction::ZERO, |portion| portion.fraction)
+        let valid = p.shares.get(budget).filter(|share| self.local_time(p.host) < share.expires_at);
+        valid.map_or(Fraction::ZERO, |share| share.fraction)
     }
 
-    pub fn usable_in_all(&self, budget: &Budget) -> Fraction {
+    pub fn total_usable(&self, budget: &Budget) -> Fraction {
         self.processes.keys().map(|id| self.usable(*id, budget)).sum()
     }
 
-    /// The invariant: what all processes may use, those that stand still included, is never more than the whole.
+    /// Checks the invariants: the fractions that all processes may use, paused ones included, never add up to
+    /// more than the lendable fraction, neither do the allocations in a table, and no two voters commit
+    /// different entries.
     fn check(&mut self) {
         let mut all: BTreeMap<&Budget, Fraction> = BTreeMap::new();
         for p in self.processes.values() {
-            let local = self.now * self.rates[p.host];
-            for portion in p.used.values().filter(|portion| local < portion.until_ms) {
-                let sum = all.entry(&portion.budget).or_default();
-                *sum = sum.saturating_add(portion.fraction);
+            let local = self.now * self.clock_rates[p.host];
+            for share in p.shares.values().filter(|share| local < share.expires_at) {
+                let sum = all.entry(&share.budget).or_default();
+                *sum = sum.saturating_add(share.fraction);
             }
         }
         for (budget, fraction) in all {
-            self.worst = self.worst.max(fraction.as_f64());
-            assert!(fraction <= self.lendable, "at {:.1} ms {fraction} of {budget} is in use", self.now);
+            self.max_in_use = self.max_in_use.max(fraction.as_f64());
+            assert!(fraction <= self.lendable, "at {:.1} ms: {fraction} of {budget} is usable", self.now);
         }
-        for seat in &self.seats {
-            let Some(v) = &seat.voter else { continue };
-            let (base, commit) = (v.raft().log().snapshot().index, v.raft().commit());
-            if seat.seen.replace((seat.life, commit)) == (seat.life, commit) {
+        for slot in &self.slots {
+            let Some(v) = &slot.voter else { continue };
+            let (snapshot_index, commit) = (v.raft().log().snapshot().index, v.raft().commit());
+            if slot.checked.replace((slot.generation, commit)) == (slot.generation, commit) {
                 continue;
             }
             for (budget, holders) in v.table().budgets() {
                 let all: Fraction = holders.values().map(|l| l.fraction).sum();
-                assert!(all <= self.lendable, "the table lends {all} of {budget}");
+                assert!(all <= self.lendable, "{all} of {budget} is allocated in the table");
             }
-            if let Some(entry) = v.raft().log().get(commit).filter(|_| commit > base) {
-                let words = format!("{entry:?}");
-                let first = self.agreed.entry(commit).or_insert_with(|| words.clone());
-                assert_eq!(*first, words, "two agreed entries at {commit}");
+            if let Some(entry) = v.raft().log().get(commit).filter(|_| commit > snapshot_index) {
+                let text = format!("{entry:?}");
+                let first = self.committed.entry(commit).or_insert_with(|| text.clone());
+                assert_eq!(*first, text, "two different entries are committed at index {commit}");
             }
         }
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.seats.len())
-            .find(|v| self.seats[*v].voter.as_ref().is_some_and(|v| v.lease_manager().is_some()))
+        (0..self.slots.len())
+            .find(|v| self.slots[*v].voter.as_ref().is_some_and(|v| v.lease_manager().is_some()))
     }
 }
 
-pub fn archive() -> Budget {
+pub fn archive_budget() -> Budget {
     Budget::new(Kind::Limit, "archive")
 }
