--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -1,7 +1,7 @@
 //! The holder's thread: renews the host's lease and passes its grants to the consumer of the budgets.
 
-use crate::plan::FleetPlan;
-use crate::state::{HeldLine, HolderView, SharedView};
+use crate::settings::FleetSettings;
+use crate::state::{HeldBudgetView, HolderView, SharedView};
 use crate::time::LeaseClock;
 use crate::transport::{HolderEvent, Requester, TransportCommand, TransportHandle, VoterEvent};
 use crate::voter_selection::VoterSelection;
@@ -20,35 +20,35 @@
     /// The budget.
     pub budget: Budget,
     /// Their recent demand, as a fraction of the whole.
-    pub asked: Fraction,
+    pub demand: Fraction,
     /// Smallest useful fraction: the one that admits a request.
-    pub least: Fraction,
+    pub min_fraction: Fraction,
     /// How long the host has to hold that fraction before it can send a request.
     pub turn: Duration,
 }
 
 /// The share of a budget that a host may use from now on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Portion {
+pub struct BudgetShare {
     /// The budget.
     pub budget: Budget,
     /// The fraction that every host permanently owns.
     pub floor: Fraction,
     /// The fraction that it leases on top of that.
-    pub lent: Fraction,
+    pub leased: Fraction,
     /// When the lease expires. A point in time, not a duration: if the process is stopped between sending and
     /// use, a duration would end too late.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 /// The consumer of this host's budgets: reports the demand of the clients and keeps what is sent within the
 /// shares.
-pub trait User: Send {
+pub trait BudgetConsumer: Send {
     /// The current demand for each budget that this host uses.
     fn demand(&mut self) -> Vec<Demand>;
     /// Applies the shares to use from now on. Returns true once they are in force and nothing more is sent
     /// under earlier ones. It may block briefly, but must return in any case.
-    fn apply(&mut self, portions: &[Portion]) -> bool;
+    fn apply(&mut self, shares: &[BudgetShare]) -> bool;
 }
 
 /// Number of leave requests that are sent, since a message may be lost.
@@ -60,9 +60,9 @@
 /// Upper bound of the requested turn, in milliseconds.
 const MAX_TURN_MS: u128 = 60_000;
 
-pub(crate) struct LeaseClient<U> {
-    plan: Arc<FleetPlan>,
-    user: U,
+pub(crate) struct LeaseClient<C> {
+    settings: Arc<FleetSettings>,
+    consumer: C,
     events: Receiver<HolderEvent>,
     transport: TransportHandle,
     /// The voter in this process, if this host is one.
@@ -72,43 +72,43 @@
     holder: Holder,
     voters: VoterSelection,
     /// The shares that the consumer applied last.
-    portions: Vec<Portion>,
+    shares: Vec<BudgetShare>,
     next_request_at: Instant,
     requests_sent: u64,
     leases_received: u64,
     warned_superseded: bool,
 }
 
-impl<U: User> LeaseClient<U> {
+impl<C: BudgetConsumer> LeaseClient<C> {
     pub(crate) fn new(
         context: &Context,
-        user: U,
+        consumer: C,
         events: Receiver<HolderEvent>,
         local_voter: Option<Sender<VoterEvent>>,
-    ) -> LeaseClient<U> {
-        let plan = context.plan.clone();
+    ) -> LeaseClient<C> {
+        let settings = context.settings.clone();
         LeaseClient {
-            user,
+            consumer,
             events,
             transport: context.transport.clone(),
             local_voter,
             shared: context.shared.clone(),
             clock: context.clock,
-            holder: Holder::new(plan.me, context.nonce, plan.times),
-            voters: VoterSelection::new(plan.me, plan.voters.iter().map(|v| v.host).collect()),
-            portions: Vec::new(),
+            holder: Holder::new(settings.host, context.nonce, settings.timing),
+            voters: VoterSelection::new(settings.host, settings.voters.iter().map(|v| v.host).collect()),
+            shares: Vec::new(),
             next_request_at: Instant::now(),
             requests_sent: 0,
             leases_received: 0,
             warned_superseded: false,
-            plan,
+            settings,
         }
     }
 
     /// Renews the lease until the thread is told to leave or stop.
     pub(crate) fn run(mut self) {
-        self.portions = self.floors();
-        self.user.apply(&self.portions);
+        self.shares = self.floors();
+        self.consumer.apply(&self.shares);
         loop {
             if Instant::now() >= self.next_request_at {
                 self.request_lease();
@@ -123,12 +123,12 @@
     }
 
     fn request_lease(&mut self) {
-        let interval = Duration::from_secs_f64(self.plan.times.renew_ms / 1_000.0);
+        let interval = Duration::from_secs_f64(self.settings.timing.renewal_interval_ms / 1_000.0);
         self.next_request_at = Instant::now() + interval;
-        let demand = self.user.demand();
+        let demand = self.consumer.demand();
         for d in &demand {
             let turn_ms = d.turn.as_millis().min(MAX_TURN_MS) as u32;
-            self.holder.set_demand(&d.budget, d.asked, d.least, turn_ms);
+            self.holder.set_demand(&d.budget, d.demand, d.min_fraction, turn_ms);
         }
         if self.holder.should_request() {
             if let Some(voter) = self.voters.select() {
@@ -168,7 +168,7 @@
         }
         self.warned_superseded = true;
         tracing::error!(
-            host = self.plan.me.0,
+            host = self.settings.host.0,
             "another process joined the fleet with this host's number; this process no longer uses any \
              fleet-wide budget; stop one of the two"
         );
@@ -177,48 +177,48 @@
     /// Handles a response and applies the resulting shares. Returns whether a leased fraction decreased.
     fn apply_response(&mut self, response: &LeaseResponse) -> bool {
         self.holder.handle_response(self.clock.now_ms(), response);
-        let portions = self.leased_shares();
+        let shares = self.leased_shares();
         let unconfirmed = self.holder.unconfirmed();
-        if !self.user.apply(&portions) {
+        if !self.consumer.apply(&shares) {
             return false;
         }
         for (budget, allocation) in unconfirmed {
             self.holder.confirm(&budget, allocation);
         }
-        let before: BTreeMap<&Budget, Fraction> = self.portions.iter().map(|p| (&p.budget, p.lent)).collect();
-        let decreased = portions.iter().any(|p| before.get(&p.budget).is_some_and(|lent| p.lent < *lent));
-        self.portions = portions;
+        let before: BTreeMap<&Budget, Fraction> = self.shares.iter().map(|p| (&p.budget, p.leased)).collect();
+        let decreased = shares.iter().any(|p| before.get(&p.budget).is_some_and(|leased| p.leased < *leased));
+        self.shares = shares;
         decreased
     }
 
     /// The shares of a host without a lease.
-    fn floors(&mut self) -> Vec<Portion> {
-        let floor = self.plan.floor();
-        let until = Instant::now();
-        let portion = |d: Demand| Portion { budget: d.budget, floor, lent: Fraction::ZERO, until };
-        self.user.demand().into_iter().map(portion).collect()
+    fn floors(&mut self) -> Vec<BudgetShare> {
+        let floor = self.settings.floor();
+        let expires_at = Instant::now();
+        let share = |d: Demand| BudgetShare { budget: d.budget, floor, leased: Fraction::ZERO, expires_at };
+        self.consumer.demand().into_iter().map(share).collect()
     }
 
     /// The shares of the host under its current lease.
-    fn leased_shares(&self) -> Vec<Portion> {
+    fn leased_shares(&self) -> Vec<BudgetShare> {
         let state = self.holder.state();
         // A superseded process gives up its floor, too: two processes with one host number would use it
         // twice.
-        let floor = if state.superseded { Fraction::ZERO } else { self.plan.floor() };
-        let until = self.clock.instant(state.expires_at);
+        let floor = if state.superseded { Fraction::ZERO } else { self.settings.floor() };
+        let expires_at = self.clock.instant(state.expires_at);
         let is_valid = self.clock.now_ms() < state.expires_at;
-        let portion = |(budget, held): (&Budget, Held)| Portion {
+        let share = |(budget, held): (&Budget, Held)| BudgetShare {
             budget: budget.clone(),
             floor,
-            lent: if is_valid { held.fraction } else { Fraction::ZERO },
-            until,
+            leased: if is_valid { held.fraction } else { Fraction::ZERO },
+            expires_at,
         };
-        self.holder.all_held().map(portion).collect()
+        self.holder.all_held().map(share).collect()
     }
 
     fn send(&self, to: HostNumber, request: LeaseRequest) {
         match &self.local_voter {
-            Some(voter) if to == self.plan.me => {
+            Some(voter) if to == self.settings.host => {
                 let _ = voter.try_send(VoterEvent::LeaseRequest(Requester::Local, request));
             }
             _ => self.transport.send(TransportCommand::Send(to, Message::LeaseRequest(request))),
@@ -228,21 +228,21 @@
     /// Publishes the holder's status.
     fn publish(&self, demand: &[Demand]) {
         let (state, now) = (self.holder.state(), self.clock.now_ms());
-        let floor = if state.superseded { 0.0 } else { self.plan.floor().as_f64() };
+        let floor = if state.superseded { 0.0 } else { self.settings.floor().as_f64() };
         let is_valid = now < state.expires_at;
-        let line = |d: &Demand| HeldLine {
+        let line = |d: &Demand| HeldBudgetView {
             budget: d.budget.to_string(),
             floor,
-            lent: if is_valid { self.holder.held(&d.budget).fraction.as_f64() } else { 0.0 },
-            demand: d.asked.as_f64(),
+            leased: if is_valid { self.holder.held(&d.budget).fraction.as_f64() } else { 0.0 },
+            demand: d.demand.as_f64(),
         };
         self.shared.set_holder(HolderView {
             incarnation: state.incarnation.map(|i| i.0),
-            lease_ms: Some(state.expires_at - now).filter(|ms| ms.is_finite()),
+            lease_remaining_ms: Some(state.expires_at - now).filter(|ms| ms.is_finite()),
             superseded: state.superseded,
-            asks: self.voters.current().map(|voter| voter.0),
-            asked: self.requests_sent,
-            answered: self.leases_received,
+            current_voter: self.voters.current().map(|voter| voter.0),
+            requests_sent: self.requests_sent,
+            leases_received: self.leases_received,
             budgets: demand.iter().map(line).collect(),
         });
     }
@@ -251,8 +251,8 @@
     /// other hosts at once.
     fn leave(&mut self) {
         self.holder.leave();
-        let portions = self.leased_shares();
-        if !self.user.apply(&portions) {
+        let shares = self.leased_shares();
+        if !self.consumer.apply(&shares) {
             return;
         }
         for _ in 0..LEAVE_REPEATS {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod client;
 pub mod disk;
 pub mod frame;
-pub mod plan;
+pub mod settings;
 pub mod state;
 pub mod store;
 pub mod time;
@@ -16,8 +16,8 @@
 pub mod voter_selection;
 mod voter_thread;
 
-pub use client::{Demand, Portion, User};
-pub use plan::{FaultInjection, FleetPlan, VoterAddress};
+pub use client::{BudgetConsumer, BudgetShare, Demand};
+pub use settings::{FaultInjection, FleetSettings, VoterAddress};
 pub use state::FleetView;
 pub use transport::TrafficCounts;
 
@@ -63,11 +63,11 @@
 const HOLDER_QUEUE: usize = 256;
 /// Capacity of the transport's command queue.
 const COMMAND_QUEUE: usize = 16_384;
-/// How long [`Fleet::stop`] waits for the threads.
+/// How long [`FleetMember::stop`] waits for the threads.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running member of the fleet. Dropping it stops it at once, without notifying the other hosts.
-pub struct Fleet {
+pub struct FleetMember {
     shared: Arc<SharedView>,
     transport: TransportHandle,
     voter: Option<Sender<VoterEvent>>,
@@ -95,7 +95,7 @@
 
 /// State that the threads of a member share.
 struct Context {
-    plan: Arc<FleetPlan>,
+    settings: Arc<FleetSettings>,
     shared: Arc<SharedView>,
     clock: LeaseClock,
     transport: TransportHandle,
@@ -106,22 +106,22 @@
 impl Context {
     /// Locks the voter's folder, binds its address and starts its thread.
     fn start_voter(&self) -> Result<StartedVoter, FleetError> {
-        let address = self.plan.listen.ok_or(FleetError::MissingSetting("listen"))?;
-        let folder = self.plan.folder.as_ref().ok_or(FleetError::MissingSetting("folder"))?;
+        let address = self.settings.listen.ok_or(FleetError::MissingSetting("listen"))?;
+        let folder = self.settings.folder.as_ref().ok_or(FleetError::MissingSetting("folder"))?;
         let folder = StoreFolder::lock(folder)?;
         let listener = TcpListener::bind(address).map_err(|source| FleetError::Listen { address, source })?;
-        let opened = match VoterThread::open(&self.plan, &folder) {
+        let opened = match VoterThread::open(&self.settings, &folder) {
             Ok(opened) => Some(opened),
             Err(why @ StoreError::Disk { .. }) => {
                 tracing::error!(%why, "voter state cannot be written; this host serves clients but does not vote");
-                self.shared.update_voter(|view| view.trouble = Some(why.to_string()));
+                self.shared.update_voter(|view| view.store_error = Some(why.to_string()));
                 None
             }
             Err(why) => return Err(why.into()),
         };
         let (events, receiver) = bounded(VOTER_QUEUE);
         let voter_thread = VoterThread {
-            plan: self.plan.clone(),
+            settings: self.settings.clone(),
             folder,
             events: receiver,
             transport: self.transport.clone(),
@@ -143,33 +143,36 @@
         let shared = self.shared.clone();
         let observer = Box::new(move |statuses: &_| shared.set_links(statuses));
         let traffic = self.shared.traffic.clone();
-        let transport = Transport::new(self.plan.clone(), listener, poller, channels, observer, traffic)?;
+        let transport = Transport::new(self.settings.clone(), listener, poller, channels, observer, traffic)?;
         Ok(spawn_small("fleet-hub", move || transport.run())?)
     }
 }
 
-impl Fleet {
+impl FleetMember {
     /// Joins the fleet. The consumer gets its floors before this returns or shortly after, and its leased
     /// shares with each renewal.
     ///
     /// # Errors
     /// A thread, descriptor or socket cannot be created, or a voter's state cannot be used. A disk that is
     /// full or read-only is no error: the voter then neither votes nor grants leases until it can write.
-    pub fn start(plan: FleetPlan, user: impl User + 'static) -> Result<Fleet, FleetError> {
-        let plan = Arc::new(plan);
+    pub fn start(
+        settings: FleetSettings,
+        consumer: impl BudgetConsumer + 'static,
+    ) -> Result<FleetMember, FleetError> {
+        let settings = Arc::new(settings);
         let poller = Arc::new(Poller::new()?);
         let (commands, command_receiver) = bounded(COMMAND_QUEUE);
         let (holder, holder_events) = bounded(HOLDER_QUEUE);
         let context = Context {
-            shared: Arc::new(SharedView::new(&plan)),
-            clock: LeaseClock::start(plan.fault_injection.clock_rate),
+            shared: Arc::new(SharedView::new(&settings)),
+            clock: LeaseClock::start(settings.fault_injection.clock_rate),
             transport: TransportHandle::new(commands, poller.clone()),
             holder: holder.clone(),
             nonce: random_nonce(),
-            plan,
+            settings,
         };
         let (mut voter, mut listener, mut threads) = (None, None, Vec::new());
-        if context.plan.votes() {
+        if context.settings.is_voter() {
             let started = context.start_voter()?;
             voter = Some(started.events);
             listener = Some(started.listener);
@@ -177,17 +180,17 @@
         }
         let channels = Channels { commands: command_receiver, voter: voter.clone(), holder };
         threads.push(context.start_transport(listener, poller, channels)?);
-        let client = LeaseClient::new(&context, user, holder_events, voter.clone());
+        let client = LeaseClient::new(&context, consumer, holder_events, voter.clone());
         let holder_thread = spawn_small("fleet-holder", move || client.run())?;
-        let plan = &context.plan;
+        let settings = &context.settings;
         tracing::info!(
-            fleet = plan.name,
-            host = plan.me.0,
-            votes = plan.votes(),
-            settings = plan.fingerprint(),
+            fleet = settings.name,
+            host = settings.host.0,
+            votes = settings.is_voter(),
+            settings = settings.fingerprint(),
             "joined the fleet"
         );
-        Ok(Fleet {
+        Ok(FleetMember {
             shared: context.shared,
             transport: context.transport,
             voter,
@@ -233,7 +236,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for FleetMember {
     fn drop(&mut self) {
         self.stop();
     }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,6 +1,6 @@
 //! The validated fleet settings of a host.
 
-use pearfork_ledger::{Fraction, HostNumber, Times};
+use pearfork_ledger::{Fraction, HostNumber, Timing};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -19,18 +19,18 @@
     /// Speed of this process's lease clock relative to real time; 1 by default.
     pub clock_rate: Option<f64>,
     /// A file whose first word names the current disk fault; see [`FaultyDisk`](crate::disk::FaultyDisk).
-    pub disk: Option<PathBuf>,
+    pub disk_fault_file: Option<PathBuf>,
 }
 
 /// The fleet settings of a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetPlan {
+pub struct FleetSettings {
     /// The fleet's name.
     pub name: String,
     /// This host.
-    pub me: HostNumber,
+    pub host: HostNumber,
     /// Maximum number of hosts in the fleet; each of them has a floor.
-    pub hosts: u32,
+    pub max_hosts: u32,
     /// The address that a voter listens on for fleet connections; none if this host is not a voter.
     pub listen: Option<SocketAddr>,
     /// The folder in which a voter keeps its state; none if this host is not a voter.
@@ -38,37 +38,39 @@
     /// All voters, including this host if it is one.
     pub voters: Vec<VoterAddress>,
     /// The sum of all floors, as a fraction of each budget.
-    pub floors: Fraction,
+    pub total_floor: Fraction,
     /// Durations and timeouts of the ledger.
-    pub times: Times,
+    pub timing: Timing,
     /// Faults to inject, for tests only.
     pub fault_injection: FaultInjection,
 }
 
-impl FleetPlan {
+impl FleetSettings {
     /// Whether this host is a voter.
-    pub fn votes(&self) -> bool {
-        self.voters.iter().any(|v| v.host == self.me)
+    pub fn is_voter(&self) -> bool {
+        self.voters.iter().any(|v| v.host == self.host)
     }
 
     /// The floor of each host, rounded down, so that the floors of all hosts do not exceed their configured
     /// sum.
     pub fn floor(&self) -> Fraction {
-        Fraction(self.floors.0 / u64::from(self.hosts.max(1)))
+        Fraction(self.total_floor.0 / u64::from(self.max_hosts.max(1)))
     }
 
     /// The fraction of each budget that can be leased: what the floors leave over.
     pub fn lendable(&self) -> Fraction {
-        Fraction::WHOLE.saturating_sub(self.floors)
+        Fraction::WHOLE.saturating_sub(self.total_floor)
     }
 
     /// Checksum of the settings that must be the same on all hosts. Addresses are left out: hosts may reach a
     /// voter under different ones.
     pub fn fingerprint(&self) -> String {
         let voters: Vec<u16> = self.voters.iter().map(|v| v.host.0).collect();
-        let t = &self.times;
-        let text =
-            format!("{} {} {voters:?} {} {} {}", self.name, self.hosts, self.floors.0, t.lease_ms, t.drift);
+        let t = &self.timing;
+        let text = format!(
+            "{} {} {voters:?} {} {} {}",
+            self.name, self.max_hosts, self.total_floor.0, t.lease_ms, t.max_clock_drift
+        );
         format!("{:08x}", crc32c::crc32c(text.as_bytes()))
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,6 +1,6 @@
 //! The status of the fleet as a host knows it, for status pages and metrics.
 
-use crate::plan::FleetPlan;
+use crate::settings::FleetSettings;
 use crate::transport::{LinkStatus, Requester, Traffic, TrafficCounts};
 use pearfork_ledger::{HostNumber, Voter};
 use serde::Serialize;
@@ -9,7 +9,7 @@
 
 /// Status of a member in the lease table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct MemberLine {
+pub struct MemberView {
     /// Host of the process.
     pub host: u16,
     /// Incarnation of the process.
@@ -24,11 +24,12 @@
 
 /// Status of a budget in the lease table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct BudgetLine {
+pub struct BudgetView {
     /// Name of the budget.
     pub budget: String,
     /// Sum of all allocations, as a fraction of the whole.
-    pub lent: f64,
+    #[serde(rename = "lent")]
+    pub allocated: f64,
     /// Allocated fraction by host.
     #[serde(rename = "to")]
     pub by_host: BTreeMap<u16, f64>,
@@ -38,19 +39,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct VoterView {
     /// The store error that keeps it from voting; none if it votes.
-    pub trouble: Option<String>,
+    #[serde(rename = "trouble")]
+    pub store_error: Option<String>,
     /// The current term.
     pub term: u64,
     /// The leader, if this voter knows it.
     pub leader: Option<u16>,
     /// Whether it is the leader and grants leases.
-    pub lends: bool,
+    #[serde(rename = "lends")]
+    pub grants_leases: bool,
     /// Index of the last entry that it knows to be committed.
     pub commit: u64,
     /// Members in the lease table.
-    pub members: Vec<MemberLine>,
+    pub members: Vec<MemberView>,
     /// Budgets in the lease table.
-    pub budgets: Vec<BudgetLine>,
+    pub budgets: Vec<BudgetView>,
 }
 
 impl VoterView {
@@ -61,7 +64,7 @@
         let table = voter.table();
         let member = |(id, m): (&pearfork_ledger::Incarnation, &pearfork_ledger::Member)| {
             let lease = leases.and_then(|l| l.get(id));
-            MemberLine {
+            MemberView {
                 host: m.host.0,
                 incarnation: id.0,
                 since_request_ms: lease.map(|l| now - l.last_request_at).filter(|ms| ms.is_finite()),
@@ -76,13 +79,13 @@
                 let host = table.members().get(incarnation).map_or(u16::MAX, |m| m.host.0);
                 *by_host.entry(host).or_insert(0.0) += allocation.fraction.as_f64();
             }
-            BudgetLine { budget: b.to_string(), lent: table.total_allocated(b).as_f64(), by_host }
+            BudgetView { budget: b.to_string(), allocated: table.total_allocated(b).as_f64(), by_host }
         };
         VoterView {
-            trouble: None,
+            store_error: None,
             term: state.term,
             leader: state.leader.map(|h| h.0),
-            lends: leases.is_some(),
+            grants_leases: leases.is_some(),
             commit: state.commit,
             members: table.members().iter().map(member).collect(),
             budgets: table.budgets().map(budget).collect(),
@@ -92,13 +95,14 @@
 
 /// This host's share of a budget.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct HeldLine {
+pub struct HeldBudgetView {
     /// Name of the budget.
     pub budget: String,
     /// The host's floor, as a fraction of the whole.
     pub floor: f64,
     /// The fraction that it leases on top of that; 0 once the lease has expired.
-    pub lent: f64,
+    #[serde(rename = "lent")]
+    pub leased: f64,
     /// The demand of its clients, as a fraction of the whole.
     pub demand: f64,
 }
@@ -109,28 +113,34 @@
     /// Incarnation of this process; none if it has not joined.
     pub incarnation: Option<u64>,
     /// Milliseconds until the lease expires; negative once it has expired, none if there is no lease.
-    pub lease_ms: Option<f64>,
+    #[serde(rename = "lease_ms")]
+    pub lease_remaining_ms: Option<f64>,
     /// Another process joined later with the same host number.
     pub superseded: bool,
     /// The voter that it sends its requests to.
-    pub asks: Option<u16>,
+    #[serde(rename = "asks")]
+    pub current_voter: Option<u16>,
     /// Number of lease requests sent.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests_sent: u64,
     /// Number of responses with a lease.
-    pub answered: u64,
+    #[serde(rename = "answered")]
+    pub leases_received: u64,
     /// Its shares of budgets.
-    pub budgets: Vec<HeldLine>,
+    pub budgets: Vec<HeldBudgetView>,
 }
 
 /// Status of the link to a voter.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LinkLine {
+pub struct LinkView {
     /// The voter.
     pub voter: u16,
     /// Whether the link is up and the handshake is done.
-    pub up: bool,
+    #[serde(rename = "up")]
+    pub is_up: bool,
     /// Why this host or the voter refused the other side; none if neither did.
-    pub refused: Option<String>,
+    #[serde(rename = "refused")]
+    pub refusal: Option<String>,
 }
 
 /// The status of the fleet, as a host knows it.
@@ -139,7 +149,8 @@
     /// The fleet's name.
     pub fleet: String,
     /// Checksum of the settings that must be the same on all hosts.
-    pub settings: String,
+    #[serde(rename = "settings")]
+    pub settings_fingerprint: String,
     /// This host.
     pub host: u16,
     /// The lease holder of this host.
@@ -147,7 +158,7 @@
     /// The voter of this host; none if it is not a voter.
     pub voter: Option<VoterView>,
     /// Links to the other voters.
-    pub links: Vec<LinkLine>,
+    pub links: Vec<LinkView>,
     /// Traffic over its fleet sockets.
     pub traffic: TrafficCounts,
 }
@@ -159,13 +170,13 @@
 }
 
 impl SharedView {
-    pub(crate) fn new(plan: &FleetPlan) -> SharedView {
+    pub(crate) fn new(settings: &FleetSettings) -> SharedView {
         let view = FleetView {
-            fleet: plan.name.clone(),
-            settings: plan.fingerprint(),
-            host: plan.me.0,
+            fleet: settings.name.clone(),
+            settings_fingerprint: settings.fingerprint(),
+            host: settings.host.0,
             holder: HolderView::default(),
-            voter: plan.votes().then(VoterView::default),
+            voter: settings.is_voter().then(VoterView::default),
             links: Vec::new(),
             traffic: TrafficCounts::default(),
         };
@@ -191,12 +202,12 @@
     }
 
     pub(crate) fn set_links(&self, statuses: &HashMap<HostNumber, LinkStatus>) {
-        let line = |(host, status): (&HostNumber, &LinkStatus)| LinkLine {
+        let line = |(host, status): (&HostNumber, &LinkStatus)| LinkView {
             voter: host.0,
-            up: status.up,
-            refused: status.refused.clone(),
+            is_up: status.is_up,
+            refusal: status.refusal.clone(),
         };
-        let mut links: Vec<LinkLine> = statuses.iter().map(line).collect();
+        let mut links: Vec<LinkView> = statuses.iter().map(line).collect();
         links.sort_by_key(|l| l.voter);
         self.lock().links = links;
     }
--- a/crates/fleet/src/transport.rs
+++ b/crates/fleet/src/transport.rs
@@ -14,7 +14,7 @@
 pub use links::{LinkObserver, LinkStatus};
 pub use traffic::{Traffic, TrafficCounts};
 
-use crate::plan::FleetPlan;
+use crate::settings::FleetSettings;
 use connection::Connection;
 use crossbeam_channel::{Receiver, Sender};
 use links::Link;
@@ -47,7 +47,7 @@
 
 /// The state of the transport's thread.
 pub struct Transport {
-    plan: Arc<FleetPlan>,
+    settings: Arc<FleetSettings>,
     hello: Hello,
     poller: Arc<Poller>,
     channels: Channels,
@@ -67,7 +67,7 @@
     /// # Errors
     /// The listener cannot be registered with the poller.
     pub fn new(
-        plan: Arc<FleetPlan>,
+        settings: Arc<FleetSettings>,
         listener: Option<TcpListener>,
         poller: Arc<Poller>,
         channels: Channels,
@@ -80,15 +80,15 @@
         }
         let hello = Hello {
             version: PROTOCOL_VERSION,
-            fleet: plan.name.clone(),
-            settings: plan.fingerprint(),
-            host: plan.me,
+            fleet: settings.name.clone(),
+            settings_fingerprint: settings.fingerprint(),
+            host: settings.host,
         };
         let now = Instant::now();
-        let others = plan.voters.iter().filter(|v| v.host != plan.me);
+        let others = settings.voters.iter().filter(|v| v.host != settings.host);
         let links = others.map(|v| (v.host, Link::new(now))).collect();
         Ok(Transport {
-            plan,
+            settings,
             hello,
             poller,
             channels,
@@ -154,7 +154,7 @@
 
     /// Registers an accepted connection, unless there are too many.
     fn add_accepted(&mut self, stream: TcpStream) {
-        let max_connections = self.plan.hosts as usize * CONNECTIONS_PER_HOST + EXTRA_CONNECTIONS;
+        let max_connections = self.settings.max_hosts as usize * CONNECTIONS_PER_HOST + EXTRA_CONNECTIONS;
         let id = self.next_connection;
         let is_kept = self.connections.len() < max_connections
             && stream.set_nonblocking(true).is_ok()
--- a/crates/fleet/src/transport/links.rs
+++ b/crates/fleet/src/transport/links.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkStatus {
     /// Whether the link is up and the handshake is done.
-    pub up: bool,
+    pub is_up: bool,
     /// Why this host or the voter refused the other side; none if neither did.
-    pub refused: Option<String>,
+    pub refusal: Option<String>,
 }
 
 /// Called whenever the status of a link changes.
@@ -50,18 +50,18 @@
     /// Marks the link as up: the handshake is done.
     pub(super) fn mark_up(&mut self) {
         self.backoff = MIN_BACKOFF;
-        self.status = LinkStatus { up: true, refused: None };
+        self.status = LinkStatus { is_up: true, refusal: None };
     }
 
     /// Records that the voter refused this host, and why.
     pub(super) fn record_refusal_by_voter(&mut self, reason: String) {
-        self.status.refused = Some(reason);
+        self.status.refusal = Some(reason);
         self.backoff = MAX_BACKOFF;
     }
 
     /// Records that this host refused the voter, and why.
     pub(super) fn record_refusal_by_self(&mut self, reason: String) {
-        self.status.refused = Some(reason);
+        self.status.refusal = Some(reason);
     }
 
     fn start_backoff(&mut self, now: Instant, id: u64) {
@@ -124,7 +124,7 @@
     }
 
     fn dial(&mut self, host: HostNumber, now: Instant) {
-        let Some(voter) = self.plan.voters.iter().find(|v| v.host == host) else { return };
+        let Some(voter) = self.settings.voters.iter().find(|v| v.host == host) else { return };
         let id = self.next_connection;
         let stream = begin_connect(&voter.address).and_then(|stream| {
             let _ = stream.set_nodelay(true);
@@ -153,7 +153,7 @@
         link.connection = None;
         link.dial_at = link.dial_at.max(Instant::now() + link.backoff);
         self.maintain_at = self.maintain_at.min(link.dial_at);
-        let was_up = std::mem::take(&mut link.status.up);
+        let was_up = std::mem::take(&mut link.status.is_up);
         if was_up {
             tracing::info!(voter = host.0, why, "link to voter is down");
         }
--- a/crates/fleet/src/transport/receive.rs
+++ b/crates/fleet/src/transport/receive.rs
@@ -3,7 +3,7 @@
 use super::channel::{HolderEvent, Requester, VoterEvent};
 use super::connection::{Connection, Decoded};
 use super::Transport;
-use crate::plan::FleetPlan;
+use crate::settings::FleetSettings;
 use pearfork_ledger::{Hello, HostNumber, Message, PROTOCOL_VERSION};
 use std::time::Instant;
 
@@ -14,14 +14,14 @@
 /// Maximum length of a message from a voter: a snapshot of the largest possible fleet.
 const MAX_VOTER_MESSAGE_BYTES: usize = 64 << 20;
 
-fn is_voter(plan: &FleetPlan, host: HostNumber) -> bool {
-    plan.voters.iter().any(|v| v.host == host)
+fn is_voter(settings: &FleetSettings, host: HostNumber) -> bool {
+    settings.voters.iter().any(|v| v.host == host)
 }
 
-fn max_message_bytes(plan: &FleetPlan, c: &Connection) -> usize {
+fn max_message_bytes(settings: &FleetSettings, c: &Connection) -> usize {
     match c.peer {
         None if c.dialed.is_none() => MAX_HELLO_BYTES,
-        Some(peer) if is_voter(plan, peer) => MAX_VOTER_MESSAGE_BYTES,
+        Some(peer) if is_voter(settings, peer) => MAX_VOTER_MESSAGE_BYTES,
         _ => MAX_HOST_MESSAGE_BYTES,
     }
 }
@@ -39,7 +39,7 @@
         if c.has_output() && c.flush().is_err() {
             return self.close(id, "sending failed");
         }
-        let max_bytes = max_message_bytes(&self.plan, c);
+        let max_bytes = max_message_bytes(&self.settings, c);
         let is_closed = c.read(max_bytes);
         let Decoded { messages, error } = c.decode(max_bytes);
         if !messages.is_empty() {
@@ -64,7 +64,7 @@
         match (peer, message) {
             (_, Message::Hello(hello)) => self.handle_hello(id, &hello),
             (_, Message::Refused(why)) => self.handle_refused(id, dialed, why),
-            (Some(peer), Message::Raft(message)) if is_voter(&self.plan, peer) => {
+            (Some(peer), Message::Raft(message)) if is_voter(&self.settings, peer) => {
                 self.send_to_voter(VoterEvent::Raft(peer, message));
             }
             (Some(_), Message::LeaseRequest(request)) if dialed.is_none() => {
@@ -96,7 +96,7 @@
 
     fn handle_hello(&mut self, id: u64, hello: &Hello) {
         let Some(c) = self.connections.get_mut(&id) else { return };
-        if let Some(why) = refusal(&self.hello, self.plan.hosts, hello) {
+        if let Some(why) = refusal(&self.hello, self.settings.max_hosts, hello) {
             return self.refuse(id, hello.host, why);
         }
         if c.dialed.is_some_and(|host| host != hello.host) {
@@ -139,10 +139,10 @@
     if theirs.fleet != own.fleet {
         return Some(format!("this is fleet `{}`, not `{}`", own.fleet, theirs.fleet));
     }
-    if theirs.settings != own.settings {
+    if theirs.settings_fingerprint != own.settings_fingerprint {
         return Some(format!(
             "the fleet settings differ: checksum {} here, {} there (name, hosts, voters, floors, lease, drift)",
-            own.settings, theirs.settings
+            own.settings_fingerprint, theirs.settings_fingerprint
         ));
     }
     if u32::from(theirs.host.0) >= hosts {
--- a/crates/fleet/src/voter_thread.rs
+++ b/crates/fleet/src/voter_thread.rs
@@ -1,7 +1,7 @@
 //! The voter's thread: handles events, writes the state to disk, and only then sends messages.
 
 use crate::disk::{Disk, FaultyDisk, RealDisk};
-use crate::plan::FleetPlan;
+use crate::settings::FleetSettings;
 use crate::state::{SharedView, VoterView};
 use crate::store::{header, Store, StoreError, StoreFolder};
 use crate::time::LeaseClock;
@@ -21,7 +21,7 @@
 const BATCH: usize = 64;
 
 pub(crate) struct VoterThread {
-    pub(crate) plan: Arc<FleetPlan>,
+    pub(crate) settings: Arc<FleetSettings>,
     pub(crate) folder: StoreFolder,
     pub(crate) events: Receiver<VoterEvent>,
     pub(crate) transport: TransportHandle,
@@ -33,8 +33,8 @@
 }
 
 impl VoterThread {
-    fn disk(plan: &FleetPlan) -> Box<dyn Disk> {
-        match &plan.fault_injection.disk {
+    fn disk(settings: &FleetSettings) -> Box<dyn Disk> {
+        match &settings.fault_injection.disk_fault_file {
             Some(file) => Box::new(FaultyDisk::new(RealDisk::default(), file.clone())),
             None => Box::<RealDisk>::default(),
         }
@@ -42,11 +42,11 @@
 
     /// Opens the store of a voter in its folder.
     pub(crate) fn open(
-        plan: &FleetPlan,
+        settings: &FleetSettings,
         folder: &StoreFolder,
     ) -> Result<(Store, PersistentState), StoreError> {
-        let header = header(&plan.name, plan.me.0);
-        Store::open(folder, VoterThread::disk(plan), header, plan.lendable())
+        let header = header(&settings.name, settings.host.0);
+        Store::open(folder, VoterThread::disk(settings), header, settings.lendable())
     }
 
     /// Runs the voter until the thread is told to stop. While the disk fails it neither votes nor grants
@@ -56,18 +56,18 @@
             if let Some((store, state)) = opened.take() {
                 let Err(why) = self.run_voter(store, state) else { return };
                 tracing::error!(%why, "voter state cannot be written; this voter is inactive until the disk recovers");
-                let trouble = Some(why.to_string());
-                self.shared.update_voter(|view| *view = VoterView { trouble, ..VoterView::default() });
+                let store_error = Some(why.to_string());
+                self.shared.update_voter(|view| *view = VoterView { store_error, ..VoterView::default() });
             }
             if self.reject_requests_until(Instant::now() + DISK_RETRY_INTERVAL) {
                 return;
             }
-            match VoterThread::open(&self.plan, &self.folder) {
+            match VoterThread::open(&self.settings, &self.folder) {
                 Ok(reopened) => {
                     tracing::warn!("voter state can be written again; this voter resumes voting");
                     opened = Some(reopened);
                 }
-                Err(why) => self.shared.update_voter(|view| view.trouble = Some(why.to_string())),
+                Err(why) => self.shared.update_voter(|view| view.store_error = Some(why.to_string())),
             }
         }
     }
@@ -92,7 +92,7 @@
         match requester {
             Requester::Connection(id) => self.transport.send(TransportCommand::Respond(id, response)),
             Requester::Local => {
-                let _ = self.holder.try_send(HolderEvent::LeaseResponse(self.plan.me, response));
+                let _ = self.holder.try_send(HolderEvent::LeaseResponse(self.settings.host, response));
             }
         }
     }
@@ -102,10 +102,16 @@
     /// # Errors
     /// The state cannot be written to disk.
     fn run_voter(&mut self, mut store: Store, state: PersistentState) -> Result<(), StoreError> {
-        let voters: Vec<HostNumber> = self.plan.voters.iter().map(|v| v.host).collect();
+        let voters: Vec<HostNumber> = self.settings.voters.iter().map(|v| v.host).collect();
         self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        let mut voter: Voter<Requester> =
-            Voter::new(self.plan.me, &voters, self.plan.times, self.seed, state, self.clock.now_ms());
+        let mut voter: Voter<Requester> = Voter::new(
+            self.settings.host,
+            &voters,
+            self.settings.timing,
+            self.seed,
+            state,
+            self.clock.now_ms(),
+        );
         let mut publish_at = Instant::now();
         while self.handle_events(&mut voter) {
             voter.tick(self.clock.now_ms());
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -1,9 +1,10 @@
 //! A fleet of hosts in one process, and malformed or hostile peers.
 
 use pearfork_fleet::{
-    frame, Demand, FaultInjection, Fleet, FleetError, FleetPlan, Portion, User, VoterAddress,
+    frame, BudgetConsumer, BudgetShare, Demand, FaultInjection, FleetError, FleetMember, FleetSettings,
+    VoterAddress,
 };
-use pearfork_ledger::{Budget, Fraction, Hello, HostNumber, Kind, Message, Times, PROTOCOL_VERSION};
+use pearfork_ledger::{Budget, BudgetKind, Fraction, Hello, HostNumber, Message, Timing, PROTOCOL_VERSION};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -11,29 +12,29 @@
 use std::time::{Duration, Instant};
 
 fn archive_budget() -> Budget {
-    Budget::new(Kind::Limit, "archive")
+    Budget::new(BudgetKind::Limit, "archive")
 }
 
 /// A consumer whose demand the test sets.
 #[derive(Clone, Default)]
 struct FakeConsumer {
     demand: Arc<Mutex<f64>>,
-    share: Arc<Mutex<Option<Portion>>>,
+    share: Arc<Mutex<Option<BudgetShare>>>,
 }
 
-impl User for FakeConsumer {
+impl BudgetConsumer for FakeConsumer {
     fn demand(&mut self) -> Vec<Demand> {
-        let asked = Fraction::from_f64(*self.demand.lock().unwrap());
+        let demand = Fraction::from_f64(*self.demand.lock().unwrap());
         vec![Demand {
             budget: archive_budget(),
-            asked,
-            least: Fraction::from_f64(0.01),
+            demand,
+            min_fraction: Fraction::from_f64(0.01),
             turn: Duration::ZERO,
         }]
     }
 
-    fn apply(&mut self, portions: &[Portion]) -> bool {
-        *self.share.lock().unwrap() = portions.iter().find(|p| p.budget == archive_budget()).cloned();
+    fn apply(&mut self, shares: &[BudgetShare]) -> bool {
+        *self.share.lock().unwrap() = shares.iter().find(|p| p.budget == archive_budget()).cloned();
         true
     }
 }
@@ -41,8 +42,9 @@
 impl FakeConsumer {
     fn usable(&self) -> f64 {
         let share = self.share.lock().unwrap();
-        let lent = share.as_ref().filter(|p| Instant::now() < p.until).map_or(Fraction::ZERO, |p| p.lent);
-        lent.as_f64()
+        let leased =
+            share.as_ref().filter(|p| Instant::now() < p.expires_at).map_or(Fraction::ZERO, |p| p.leased);
+        leased.as_f64()
     }
 }
 
@@ -62,7 +64,7 @@
     }
 }
 
-fn plans(temp: &TempFolder, hosts: u16) -> Vec<FleetPlan> {
+fn settings(temp: &TempFolder, hosts: u16) -> Vec<FleetSettings> {
     // All listeners stay open until each voter has a port, so that no two get the same one.
     let listeners: Vec<TcpListener> = (0..3).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let voters: Vec<VoterAddress> = (0..3)
@@ -71,18 +73,18 @@
             address: listeners[usize::from(v)].local_addr().unwrap(),
         })
         .collect();
-    let plan = |host: u16| FleetPlan {
+    let settings = |host: u16| FleetSettings {
         name: "f".to_owned(),
-        me: HostNumber(host),
-        hosts: 8,
+        host: HostNumber(host),
+        max_hosts: 8,
         listen: voters.get(usize::from(host)).map(|v| v.address),
         folder: (host < 3).then(|| temp.0.join(host.to_string())),
         voters: voters.clone(),
-        floors: Fraction::from_f64(0.02),
-        times: Times::default(),
+        total_floor: Fraction::from_f64(0.02),
+        timing: Timing::default(),
         fault_injection: FaultInjection::default(),
     };
-    (0..hosts).map(plan).collect()
+    (0..hosts).map(settings).collect()
 }
 
 fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
@@ -103,13 +105,16 @@
 #[test]
 fn shares_follow_demand_return_on_leave_and_resist_hostile_peers() {
     let temp = TempFolder::new("bad");
-    let plans = plans(&temp, 4);
-    let consumers: Vec<FakeConsumer> = plans.iter().map(|_| FakeConsumer::default()).collect();
-    let members: Vec<Fleet> =
-        plans.iter().zip(&consumers).map(|(p, c)| Fleet::start(p.clone(), c.clone()).unwrap()).collect();
+    let settings = settings(&temp, 4);
+    let consumers: Vec<FakeConsumer> = settings.iter().map(|_| FakeConsumer::default()).collect();
+    let members: Vec<FleetMember> = settings
+        .iter()
+        .zip(&consumers)
+        .map(|(p, c)| FleetMember::start(p.clone(), c.clone()).unwrap())
+        .collect();
     *consumers[3].demand.lock().unwrap() = 1.0;
     wait_until("the only host with demand has nearly the whole budget", || consumers[3].usable() > 0.9);
-    let address = plans[0].listen.unwrap();
+    let address = settings[0].listen.unwrap();
     connect_hostile_peers(address);
     assert!(consumers[3].usable() > 0.9, "hostile peers reduced a share");
     *consumers[1].demand.lock().unwrap() = 1.0;
@@ -123,8 +128,10 @@
     wait_until("the remaining host has nearly the whole budget", || consumers[1].usable() > 0.9);
     assert!(began.elapsed() < Duration::from_millis(2_000), "{:?}", began.elapsed());
     // A second process cannot use the same folder.
-    let second =
-        Fleet::start(FleetPlan { listen: Some(free_address()), ..plans[0].clone() }, FakeConsumer::default());
+    let second = FleetMember::start(
+        FleetSettings { listen: Some(free_address()), ..settings[0].clone() },
+        FakeConsumer::default(),
+    );
     assert!(matches!(second, Err(FleetError::Store(_))));
 }
 
@@ -133,9 +140,9 @@
 }
 
 fn hello(fleet: &str, version: u32, host: u16) -> Vec<u8> {
-    let settings = "0".to_owned();
+    let settings_fingerprint = "0".to_owned();
     let mut bytes = Vec::new();
-    let hello = Hello { version, fleet: fleet.to_owned(), settings, host: HostNumber(host) };
+    let hello = Hello { version, fleet: fleet.to_owned(), settings_fingerprint, host: HostNumber(host) };
     frame::encode(&mut bytes, &Message::Hello(hello));
     bytes
 }
--- a/crates/host/src/fleet.rs
+++ b/crates/host/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::settings::HostSettings;
 use crate::volumes::VolumeId;
 use crossbeam_channel::{bounded, Sender};
-use pearfork_fleet::{Demand, FleetPlan, Portion, User};
-use pearfork_ledger::{Budget, Fraction, Kind, Meter};
+use pearfork_fleet::{BudgetConsumer, BudgetShare, Demand, FleetSettings};
+use pearfork_ledger::{Budget, BudgetKind, DemandMeter, Fraction};
 use pearfork_net::Clock;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,7 +27,7 @@
     least_burst: Fraction,
     /// How long the whole rate pays for the largest request.
     turn: Duration,
-    meter: Meter,
+    meter: DemandMeter,
     seen: u64,
 }
 
@@ -41,19 +41,19 @@
 
 impl Limits {
     /// Those of a plan. `asked` counts thousandths of units by volume.
-    pub(crate) fn of(plan: &HostSettings, fleet: &FleetPlan, asked: Arc<[AtomicU64]>) -> Limits {
+    pub(crate) fn of(plan: &HostSettings, fleet: &FleetSettings, asked: Arc<[AtomicU64]>) -> Limits {
         let largest = plan.scheduler.max_units;
         let line = |v: &crate::volumes::Volume| {
             let p = &plan.scheduler.plans[usize::from(v.plan)];
             (p.limit > 0.0).then(|| Line {
                 volume: v.id,
-                rate: Budget::new(Kind::Limit, &v.name),
-                burst: Budget::new(Kind::Burst, &v.name),
+                rate: Budget::new(BudgetKind::Limit, &v.name),
+                burst: Budget::new(BudgetKind::Burst, &v.name),
                 // Less than that would leave a request waiting past its aim, and a host that has few waiting for ever.
                 least_rate: Fraction::from_f64(plan.scheduler.mean_units / p.limit),
                 least_burst: Fraction::from_f64(largest / p.burst.max(1e-9)),
                 turn: Duration::from_secs_f64((1.25 * largest / p.limit).min(60.0)),
-                meter: Meter::new(p.limit, largest),
+                meter: DemandMeter::new(p.limit, largest),
                 seen: 0,
             })
         };
@@ -81,7 +81,7 @@
     clock: Clock,
 }
 
-impl User for LimitUser {
+impl BudgetConsumer for LimitUser {
     fn demand(&mut self) -> Vec<Demand> {
         let (now, asked) = (self.clock.now_ms(), &self.limits.asked);
         let demand = |l: &mut Line| {
@@ -90,24 +90,24 @@
             l.seen = total;
             let asked = l.meter.record(now, units);
             [
-                Demand { budget: l.rate.clone(), asked, least: l.least_rate, turn: l.turn },
-                Demand { budget: l.burst.clone(), asked, least: l.least_burst, turn: l.turn },
+                Demand { budget: l.rate.clone(), demand: asked, min_fraction: l.least_rate, turn: l.turn },
+                Demand { budget: l.burst.clone(), demand: asked, min_fraction: l.least_burst, turn: l.turn },
             ]
         };
         self.limits.lines.iter_mut().flat_map(demand).collect()
     }
 
-    fn apply(&mut self, portions: &[Portion]) -> bool {
-        let by_budget: HashMap<&Budget, &Portion> = portions.iter().map(|p| (&p.budget, p)).collect();
+    fn apply(&mut self, portions: &[BudgetShare]) -> bool {
+        let by_budget: HashMap<&Budget, &BudgetShare> = portions.iter().map(|p| (&p.budget, p)).collect();
         let part = |l: &Line| {
             let (rate, burst) = (by_budget.get(&l.rate)?, by_budget.get(&l.burst)?);
             Some(LentPart {
                 volume: l.volume,
                 floor: rate.floor.as_f64(),
-                lent: rate.lent.as_f64(),
-                lent_burst: burst.lent.as_f64(),
+                lent: rate.leased.as_f64(),
+                lent_burst: burst.leased.as_f64(),
                 // Both are of one lease.
-                until_ms: self.clock.ms_at(rate.until.min(burst.until)),
+                until_ms: self.clock.ms_at(rate.expires_at.min(burst.expires_at)),
             })
         };
         let parts: Vec<LentPart> = self.limits.lines.iter().filter_map(part).collect();
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -10,7 +10,7 @@
 use crate::settings::{HostSettings, HostSettingsErrors};
 use crate::status::{self, Snapshot};
 use crossbeam_channel::{bounded, Receiver, Sender};
-use pearfork_fleet::Fleet;
+use pearfork_fleet::FleetMember;
 use pearfork_iscsi::Limits;
 use pearfork_net::{http, spawn_small, Clock, Portal, PortalConfig};
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     /// Danger: without HTTP nobody else holds this end, and a channel that is closed reads as a wish to drain: the host
     /// would stop as soon as it had started.
     _drain: Sender<()>,
-    fleet: Option<Arc<Fleet>>,
+    fleet: Option<Arc<FleetMember>>,
 }
 
 struct Outward {
@@ -137,7 +137,7 @@
         };
         let fleet = match (&plan.fleet, shared) {
             (Some(own), Some(limits)) => {
-                Some(Arc::new(Fleet::start(own.clone(), limits.user(engine.clone(), clock))?))
+                Some(Arc::new(FleetMember::start(own.clone(), limits.user(engine.clone(), clock))?))
             }
             _ => None,
         };
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -16,7 +16,7 @@
 use self::tables::{ClassTable, EffectWord, File, GroupWord, PlanTable};
 use crate::units::Span;
 use crate::volumes::{Volume, VolumeId};
-use pearfork_fleet::FleetPlan;
+use pearfork_fleet::FleetSettings;
 use pearfork_layers::{Key, LayerFault, Layers};
 use pearfork_match::Fields;
 use pearfork_scsi::{Media, MediaOp, Unit, MAX_TRANSFER_BLOCKS};
@@ -129,7 +129,7 @@
     /// Stand-in nodes to be brought along.
     pub embedded: Option<EmbeddedNodes>,
     /// Its place among the hosts that divide budgets; none where each has an even part by the figures alone.
-    pub fleet: Option<FleetPlan>,
+    pub fleet: Option<FleetSettings>,
     /// Which class, plan and key a request gets.
     pub matching: Arc<Matching>,
     /// What the operator is to be told, though the file is taken.
--- a/crates/host/src/settings/fleet.rs
+++ b/crates/host/src/settings/fleet.rs
@@ -3,8 +3,8 @@
 use super::tables::{File, FleetTable};
 use super::Checker;
 use crate::units::Span;
-use pearfork_fleet::{FaultInjection, FleetPlan, VoterAddress};
-use pearfork_ledger::{Fraction, HostNumber, Times};
+use pearfork_fleet::{FaultInjection, FleetSettings, VoterAddress};
+use pearfork_ledger::{Fraction, HostNumber, Timing};
 use std::collections::HashSet;
 
 /// Voters that a fleet may have. Two are no better than one, and nine take longer to agree than seven without bearing
@@ -12,7 +12,7 @@
 const VOTERS: [usize; 4] = [1, 3, 5, 7];
 
 impl Checker<'_> {
-    pub(super) fn fleet(&mut self, file: &File) -> Option<FleetPlan> {
+    pub(super) fn fleet(&mut self, file: &File) -> Option<FleetSettings> {
         let f = file.fleet.as_ref()?;
         let before = self.faults.len();
         if f.name.is_empty() || f.name.len() > 100 {
@@ -26,9 +26,9 @@
             v.ms()
         };
         let lease_ms = span(self, "lease", f.lease, 200.0, 60_000.0);
-        let renew_ms = span(self, "ask", f.ask, 10.0, lease_ms / 4.0);
-        let election_ms = span(self, "election", f.election, 50.0, 30_000.0);
-        let heartbeat_ms = span(self, "beat", f.beat, 5.0, election_ms / 4.0);
+        let renewal_interval_ms = span(self, "ask", f.ask, 10.0, lease_ms / 4.0);
+        let election_timeout_ms = span(self, "election", f.election, 50.0, 30_000.0);
+        let heartbeat_interval_ms = span(self, "beat", f.beat, 5.0, election_timeout_ms / 4.0);
         if !(0.0..=1.0).contains(&f.drift) {
             self.fault("fleet.drift", "must be 0 to 1: by how much one clock may run faster than another");
         }
@@ -57,10 +57,10 @@
                 ));
             }
         }
-        (self.faults.len() == before).then(|| FleetPlan {
+        (self.faults.len() == before).then(|| FleetSettings {
             name: f.name.clone(),
-            me: HostNumber(file.host.number),
-            hosts: file.host.hosts,
+            host: HostNumber(file.host.number),
+            max_hosts: file.host.hosts,
             listen: f.listen,
             folder: f.folder.clone(),
             voters: f
@@ -68,9 +68,18 @@
                 .iter()
                 .map(|v| VoterAddress { host: HostNumber(v.host), address: v.address })
                 .collect(),
-            floors: Fraction::from_f64(f.floors),
-            times: Times { lease_ms, drift: f.drift, renew_ms, heartbeat_ms, election_ms },
-            fault_injection: FaultInjection { clock_rate: f.trouble.clock, disk: f.trouble.disk.clone() },
+            total_floor: Fraction::from_f64(f.floors),
+            timing: Timing {
+                lease_ms,
+                max_clock_drift: f.drift,
+                renewal_interval_ms,
+                heartbeat_interval_ms,
+                election_timeout_ms,
+            },
+            fault_injection: FaultInjection {
+                clock_rate: f.trouble.clock,
+                disk_fault_file: f.trouble.disk.clone(),
+            },
         })
     }
 
--- a/crates/host/src/settings/tables.rs
+++ b/crates/host/src/settings/tables.rs
@@ -1,7 +1,7 @@
 //! The file as it is written: tables and keys, before anything is checked against anything else.
 
 use crate::units::{Size, Span};
-use pearfork_ledger::Times;
+use pearfork_ledger::Timing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -74,23 +74,23 @@
 }
 
 fn default_lease() -> Span {
-    Span::from_ms(Times::default().lease_ms)
+    Span::from_ms(Timing::default().lease_ms)
 }
 
 fn default_drift() -> f64 {
-    Times::default().drift
+    Timing::default().max_clock_drift
 }
 
 fn default_ask() -> Span {
-    Span::from_ms(Times::default().renew_ms)
+    Span::from_ms(Timing::default().renewal_interval_ms)
 }
 
 fn default_beat() -> Span {
-    Span::from_ms(Times::default().heartbeat_ms)
+    Span::from_ms(Timing::default().heartbeat_interval_ms)
 }
 
 fn default_election() -> Span {
-    Span::from_ms(Times::default().election_ms)
+    Span::from_ms(Timing::default().election_timeout_ms)
 }
 
 /// Stand-in nodes that a gateway brings along for trying it out; a host knows nothing of them.
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::settings::HostSettings;
 use pearfork::{NodeEntry, NodeState, Reason};
-use pearfork_fleet::state::{HeldLine, LinkLine};
+use pearfork_fleet::state::{HeldBudgetView, LinkView};
 use pearfork_fleet::FleetView;
 use pearfork_net::http::{Answer, Call, Method};
 use serde::Serialize;
@@ -181,32 +181,32 @@
 fn fleet_metrics(fleet: &FleetView, family: &mut Family<'_>) {
     let one = |value: f64| vec![(String::new(), value)];
     let holder = &fleet.holder;
-    let of = |f: fn(&HeldLine) -> f64| -> Vec<(String, f64)> {
+    let of = |f: fn(&HeldBudgetView) -> f64| -> Vec<(String, f64)> {
         holder.budgets.iter().map(|b| (format!("{{budget=\"{}\"}}", b.budget), f(b))).collect()
     };
     family(
         "fleet_part",
         "gauge",
         "Part of a budget's whole that this host may use.",
-        of(|b| b.floor + b.lent),
+        of(|b| b.floor + b.leased),
     );
     family("fleet_demand", "gauge", "Part of a budget's whole that clients ask for here.", of(|b| b.demand));
-    let left = holder.lease_ms.unwrap_or(0.0).max(0.0) / 1_000.0;
+    let left = holder.lease_remaining_ms.unwrap_or(0.0).max(0.0) / 1_000.0;
     family("fleet_lease_seconds", "gauge", "Time that the lease still holds.", one(left));
-    family("fleet_asks_total", "counter", "Asks of the ledger.", one(holder.asked as f64));
-    family("fleet_leases_total", "counter", "Answers with a lease.", one(holder.answered as f64));
+    family("fleet_asks_total", "counter", "Asks of the ledger.", one(holder.requests_sent as f64));
+    family("fleet_leases_total", "counter", "Answers with a lease.", one(holder.leases_received as f64));
     let named = f64::from(u8::from(!holder.superseded));
     family("fleet_named", "gauge", "0 where another process has this host's number.", one(named));
-    let up = |l: &LinkLine| (format!("{{voter=\"{}\"}}", l.voter), f64::from(u8::from(l.up)));
+    let up = |l: &LinkView| (format!("{{voter=\"{}\"}}", l.voter), f64::from(u8::from(l.is_up)));
     family("fleet_link_up", "gauge", "Links to voters.", fleet.links.iter().map(up).collect());
     if let Some(v) = &fleet.voter {
-        let votes = f64::from(u8::from(v.trouble.is_none()));
+        let votes = f64::from(u8::from(v.store_error.is_none()));
         family("fleet_votes", "gauge", "0 where this voter's disk keeps it from voting.", one(votes));
         family(
             "fleet_lends",
             "gauge",
             "1 where this voter leads and lends.",
-            one(f64::from(u8::from(v.lends))),
+            one(f64::from(u8::from(v.grants_leases))),
         );
         family("fleet_term", "counter", "Terms of leaders.", one(v.term as f64));
         family("fleet_members", "gauge", "Processes in the book.", one(v.members.len() as f64));
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -15,32 +15,38 @@
 
 /// The resource that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Kind {
+pub enum BudgetKind {
     /// Rate limit of a volume (rule 7).
     Limit,
     /// Burst size of a volume with a rate limit (rule 7). It is separate from the rate because a host that
     /// sends occasionally needs burst for its largest request, but hardly any of the rate.
     Burst,
     /// Units that all hosts together may send to a cold node (rule 4).
-    Cold,
+    ColdNode,
     /// Retries of all hosts (rule 6).
     Retry,
     /// Connections of all hosts to a node.
     Connections,
 }
 
-impl Kind {
+impl BudgetKind {
     /// All kinds.
-    pub const ALL: [Kind; 5] = [Kind::Limit, Kind::Burst, Kind::Cold, Kind::Retry, Kind::Connections];
+    pub const ALL: [BudgetKind; 5] = [
+        BudgetKind::Limit,
+        BudgetKind::Burst,
+        BudgetKind::ColdNode,
+        BudgetKind::Retry,
+        BudgetKind::Connections,
+    ];
 
     /// The prefix of the names of budgets of this kind.
     pub fn prefix(self) -> &'static str {
         match self {
-            Kind::Limit => "limit",
-            Kind::Burst => "burst",
-            Kind::Cold => "cold",
-            Kind::Retry => "retry",
-            Kind::Connections => "connections",
+            BudgetKind::Limit => "limit",
+            BudgetKind::Burst => "burst",
+            BudgetKind::ColdNode => "cold",
+            BudgetKind::Retry => "retry",
+            BudgetKind::Connections => "connections",
         }
     }
 }
@@ -52,14 +58,14 @@
 
 impl Budget {
     /// The budget of this kind for the named resource.
-    pub fn new(kind: Kind, name: &str) -> Budget {
+    pub fn new(kind: BudgetKind, name: &str) -> Budget {
         Budget(format!("{}/{name}", kind.prefix()))
     }
 
     /// Its kind; none for a kind that this release does not know. Such a budget is divided like any other.
-    pub fn kind(&self) -> Option<Kind> {
+    pub fn kind(&self) -> Option<BudgetKind> {
         let prefix = self.0.split('/').next()?;
-        Kind::ALL.into_iter().find(|k| k.prefix() == prefix)
+        BudgetKind::ALL.into_iter().find(|k| k.prefix() == prefix)
     }
 
     /// The name of the limited resource.
--- a/crates/ledger/src/holder.rs
+++ b/crates/ledger/src/holder.rs
@@ -6,7 +6,7 @@
 use crate::message::{
     BudgetRequest, Grant, Lease, LeaseOutcome, LeaseRequest, LeaseResponse, Refusal, RenewalBase,
 };
-use crate::Times;
+use crate::Timing;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -138,7 +138,7 @@
 pub struct Holder {
     host: HostNumber,
     nonce: u64,
-    times: Times,
+    timing: Timing,
     incarnation: Option<Incarnation>,
     budgets: BTreeMap<Budget, HeldBudget>,
     /// Sequence number of the last request.
@@ -161,11 +161,11 @@
 
 impl Holder {
     /// The holder of a process that joins under this random number.
-    pub fn new(host: HostNumber, nonce: u64, times: Times) -> Holder {
+    pub fn new(host: HostNumber, nonce: u64, timing: Timing) -> Holder {
         Holder {
             host,
             nonce,
-            times,
+            timing,
             incarnation: None,
             budgets: BTreeMap::new(),
             seq: 0,
@@ -281,7 +281,7 @@
                     return false;
                 }
                 self.handle_lease(request.seq, lease);
-                self.expires_at = self.expires_at.max(request.sent_at + self.times.lease_ms);
+                self.expires_at = self.expires_at.max(request.sent_at + self.timing.lease_ms);
                 now < self.expires_at
             }
             LeaseOutcome::Refused(Refusal::Unknown) => {
--- a/crates/ledger/src/lease_manager.rs
+++ b/crates/ledger/src/lease_manager.rs
@@ -5,7 +5,7 @@
 use crate::fraction::Fraction;
 use crate::lease_table::{Allocation, Change, LeaseTable};
 use crate::message::{BudgetRequest, Grant, GrantsPosition, Lease, LeaseRequest, RenewalBase};
-use crate::Times;
+use crate::Timing;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The lease of a member, as the leader keeps it.
@@ -100,7 +100,7 @@
 /// Manages the leases of all members during one leadership. A new leader starts with a new one.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
-    times: Times,
+    timing: Timing,
     /// The term of this leadership.
     term: u64,
     leases: BTreeMap<Incarnation, MemberLease>,
@@ -123,12 +123,12 @@
     ///
     /// It treats every lease as just renewed: it does not know when earlier leaders renewed them, and each
     /// may have been renewed a moment before the election.
-    pub fn new(times: Times, term: u64, table: &LeaseTable, now: f64) -> LeaseManager {
-        let lease = |member: &Incarnation| (*member, MemberLease::new(now + times.lease_with_drift_ms()));
+    pub fn new(timing: Timing, term: u64, table: &LeaseTable, now: f64) -> LeaseManager {
+        let lease = |member: &Incarnation| (*member, MemberLease::new(now + timing.lease_with_drift_ms()));
         let leases = table.members().keys().map(lease).collect();
         let dirty_budgets = table.budgets().map(|(b, _)| b.clone()).collect();
         LeaseManager {
-            times,
+            timing,
             term,
             leases,
             targets: BTreeMap::new(),
@@ -150,7 +150,7 @@
         member: Incarnation,
         request: &LeaseRequest,
     ) -> RequestHandling {
-        let expires_at = now + self.times.lease_with_drift_ms();
+        let expires_at = now + self.timing.lease_with_drift_ms();
         let lease = self.leases.entry(member).or_insert_with(|| MemberLease::new(expires_at));
         // A request that arrives after a later one describes an outdated state of its sender.
         if lease.removing || request.seq <= lease.seq {
@@ -202,7 +202,7 @@
     /// Renews a member's lease when a response with it is sent.
     pub fn renew_lease(&mut self, now: f64, member: Incarnation) {
         if let Some(lease) = self.leases.get_mut(&member) {
-            lease.expires_at = now + self.times.lease_with_drift_ms();
+            lease.expires_at = now + self.timing.lease_with_drift_ms();
         }
     }
 
@@ -223,7 +223,7 @@
     pub fn propose_changes(&mut self, now: f64, table: &LeaseTable) -> Vec<Change> {
         for member in table.members().keys() {
             // Every member gets a lease, so that one that sends no further request expires and is removed.
-            let expires_at = now + self.times.lease_with_drift_ms();
+            let expires_at = now + self.timing.lease_with_drift_ms();
             self.leases.entry(*member).or_insert_with(|| MemberLease::new(expires_at));
         }
         let removals = self.remove_expired(now, table);
@@ -232,7 +232,7 @@
             return removals;
         }
         if now > self.next_turn_check_at {
-            self.next_turn_check_at = now + self.times.renew_ms;
+            self.next_turn_check_at = now + self.timing.renewal_interval_ms;
             self.dirty_budgets.extend(self.contended_budgets.iter().cloned());
         }
         let dirty = std::mem::take(&mut self.dirty_budgets);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -31,7 +31,7 @@
 mod random;
 mod voter;
 
-pub use budget::{Budget, HostNumber, Incarnation, Kind};
+pub use budget::{Budget, BudgetKind, HostNumber, Incarnation};
 pub use divide::{divide, Claim};
 pub use fraction::Fraction;
 pub use holder::{Held, Holder, HolderState};
@@ -42,36 +42,42 @@
     BudgetRequest, Grant, GrantsPosition, Hello, Lease, LeaseOutcome, LeaseRequest, LeaseResponse, Message,
     Refusal, RenewalBase, PROTOCOL_VERSION,
 };
-pub use meter::Meter;
+pub use meter::DemandMeter;
 pub use voter::{Ready, Voter, VoterState};
 
 /// Durations and timeouts of the ledger, in milliseconds. All hosts of a fleet use the same values.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
+pub struct Timing {
     /// Validity of a lease on its holder's clock, counted from just before its request is sent.
     pub lease_ms: f64,
     /// Largest difference in speed between the clocks of two hosts, as a fraction: with 0.25 one clock may
     /// run 25 % faster than another.
-    pub drift: f64,
+    pub max_clock_drift: f64,
     /// Interval at which a holder renews its lease.
-    pub renew_ms: f64,
+    pub renewal_interval_ms: f64,
     /// Interval between the heartbeats of a leader.
-    pub heartbeat_ms: f64,
+    pub heartbeat_interval_ms: f64,
     /// Election timeout: a voter that hears from no leader for a random time between this and twice this
     /// starts an election.
-    pub election_ms: f64,
+    pub election_timeout_ms: f64,
 }
 
-impl Default for Times {
+impl Default for Timing {
     fn default() -> Self {
-        Times { lease_ms: 2_000.0, drift: 0.25, renew_ms: 200.0, heartbeat_ms: 60.0, election_ms: 400.0 }
+        Timing {
+            lease_ms: 2_000.0,
+            max_clock_drift: 0.25,
+            renewal_interval_ms: 200.0,
+            heartbeat_interval_ms: 60.0,
+            election_timeout_ms: 400.0,
+        }
     }
 }
 
-impl Times {
+impl Timing {
     /// How long the leader treats a lease as valid after its response: by then it has expired on the holder's
     /// clock, however that drifts within the bound.
     pub fn lease_with_drift_ms(&self) -> f64 {
-        self.lease_ms * (1.0 + self.drift)
+        self.lease_ms * (1.0 + self.max_clock_drift)
     }
 }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -17,7 +17,8 @@
     /// The fleet's name.
     pub fleet: String,
     /// Checksum of the settings that must be the same on all hosts of a fleet.
-    pub settings: String,
+    #[serde(rename = "settings")]
+    pub settings_fingerprint: String,
     /// The sending host.
     pub host: HostNumber,
 }
@@ -131,7 +132,7 @@
     pub revision: u64,
 }
 
-/// A lease. It is valid for [`Times::lease_ms`](crate::Times::lease_ms) from when its request was sent.
+/// A lease. It is valid for [`Timing::lease_ms`](crate::Timing::lease_ms) from when its request was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The process.
--- a/crates/ledger/src/meter.rs
+++ b/crates/ledger/src/meter.rs
@@ -22,19 +22,19 @@
 /// Measures the demand for one budget in a sliding window. Units older than the window do not count, so that
 /// a load that moves to another host soon frees its whole share here.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct DemandMeter {
     rate: f64,
     window_ms: f64,
     buckets: VecDeque<Bucket>,
 }
 
-impl Meter {
+impl DemandMeter {
     /// A meter for a budget of `rate` units per second, of which one request takes up to `max_request_units`.
-    pub fn new(rate: f64, max_request_units: f64) -> Meter {
+    pub fn new(rate: f64, max_request_units: f64) -> DemandMeter {
         // With a rate of one unit per second requests are seconds apart. A shorter window would take each gap
         // between two of them for the end of the load.
         let request_interval_ms = 1_000.0 * max_request_units.max(0.0) / rate.max(MIN_RATE);
-        Meter {
+        DemandMeter {
             rate,
             window_ms: (MIN_WINDOW_MS + request_interval_ms).min(MAX_WINDOW_MS),
             buckets: VecDeque::new(),
@@ -69,7 +69,7 @@
 
     #[test]
     fn demand_counts_within_the_window_and_not_after_it() {
-        let mut meter = Meter::new(100.0, 5.0);
+        let mut meter = DemandMeter::new(100.0, 5.0);
         let mut demand = Fraction::ZERO;
         for step in 0..50 {
             demand = meter.record(f64::from(step) * 50.0, 5.0);
@@ -78,7 +78,7 @@
         assert_eq!(meter.record(2_450.0 + 800.0, 0.0), Fraction::ZERO);
         // One unit every four seconds of a budget of one unit per second is a constant demand of about a
         // quarter.
-        let mut slow = Meter::new(1.0, 8.0);
+        let mut slow = DemandMeter::new(1.0, 8.0);
         for step in 0..40 {
             demand = slow.record(f64::from(step) * 1_000.0, if step % 4 == 0 { 1.0 } else { 0.0 });
             assert!(step < 8 || (0.1..0.5).contains(&demand.as_f64()), "{step}: {demand}");
--- a/crates/ledger/src/raft.rs
+++ b/crates/ledger/src/raft.rs
@@ -17,7 +17,7 @@
 use crate::lease_table::{Change, LeaseTable};
 use crate::log::{Log, LogPosition};
 use crate::random::Random;
-use crate::Times;
+use crate::Timing;
 use election::Phase;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,7 +71,7 @@
     id: HostNumber,
     /// The other voters.
     peers: Vec<HostNumber>,
-    times: Times,
+    timing: Timing,
     random: Random,
     term: u64,
     voted_for: Option<HostNumber>,
@@ -95,7 +95,7 @@
     pub fn new(
         id: HostNumber,
         voters: &[HostNumber],
-        times: Times,
+        timing: Timing,
         seed: u64,
         state: PersistentState,
         now: f64,
@@ -104,7 +104,7 @@
         let mut raft = Raft {
             id,
             peers: voters.iter().copied().filter(|v| *v != id).collect(),
-            times,
+            timing,
             random: Random(seed),
             term: state.term,
             voted_for: state.voted_for,
@@ -164,7 +164,7 @@
     /// When [`Raft::tick`] has to be called next.
     pub fn next_deadline(&self) -> f64 {
         match &self.role {
-            Role::Leader(leadership) => leadership.heartbeat_at + self.times.heartbeat_ms,
+            Role::Leader(leadership) => leadership.heartbeat_at + self.timing.heartbeat_interval_ms,
             _ => self.election_at,
         }
     }
--- a/crates/ledger/src/raft/election.rs
+++ b/crates/ledger/src/raft/election.rs
@@ -22,7 +22,7 @@
     }
 
     pub(super) fn reset_election_timer(&mut self, now: f64) {
-        self.election_at = now + self.times.election_ms * (1.0 + self.random.next());
+        self.election_at = now + self.timing.election_timeout_ms * (1.0 + self.random.next());
     }
 
     pub(super) fn become_follower(&mut self, now: f64, term: u64, leader: Option<HostNumber>) {
@@ -83,7 +83,8 @@
         term: u64,
         last: LogPosition,
     ) {
-        let has_leader = self.is_leader() || now - self.last_leader_contact_at < self.times.election_ms;
+        let has_leader =
+            self.is_leader() || now - self.last_leader_contact_at < self.timing.election_timeout_ms;
         let granted = term > self.term && !has_leader && self.is_up_to_date(last);
         let term = if granted { term } else { self.term };
         self.send(from, term, RaftPayload::PreVoteResponse(granted));
--- a/crates/ledger/src/raft/replication.rs
+++ b/crates/ledger/src/raft/replication.rs
@@ -40,7 +40,7 @@
     /// Leader: whether a quorum has responded recently. Otherwise another voter may lead by now.
     pub(super) fn has_quorum_contact(&self, now: f64) -> bool {
         let Role::Leader(leadership) = &self.role else { return false };
-        let window_ms = 2.0 * self.times.election_ms;
+        let window_ms = 2.0 * self.timing.election_timeout_ms;
         let responsive =
             leadership.followers.values().filter(|f| now - f.last_response_at <= window_ms).count();
         responsive + 1 >= self.quorum()
--- a/crates/ledger/src/voter.rs
+++ b/crates/ledger/src/voter.rs
@@ -5,7 +5,7 @@
 use crate::lease_table::{Change, LeaseTable};
 use crate::message::{LeaseOutcome, LeaseRequest, LeaseResponse, Refusal};
 use crate::raft::{Output, PersistentState, Raft, RaftMessage};
-use crate::Times;
+use crate::Timing;
 
 /// Default number of entries after which the log is compacted into a snapshot.
 const COMPACT_AFTER: u64 = 2_048;
@@ -76,9 +76,9 @@
 }
 
 impl<T> Leadership<T> {
-    fn new(times: Times, term: u64, table: &LeaseTable, now: f64) -> Leadership<T> {
+    fn new(timing: Timing, term: u64, table: &LeaseTable, now: f64) -> Leadership<T> {
         Leadership {
-            lease_manager: LeaseManager::new(times, term, table, now),
+            lease_manager: LeaseManager::new(timing, term, table, now),
             pending: Vec::new(),
             proposed_index: 0,
             divide_at: now,
@@ -163,7 +163,7 @@
 #[derive(Clone, Debug)]
 pub struct Voter<T> {
     raft: Raft,
-    times: Times,
+    timing: Timing,
     table: LeaseTable,
     /// Index of the last entry that is applied to `table`.
     applied: u64,
@@ -178,16 +178,16 @@
     pub fn new(
         id: HostNumber,
         voters: &[HostNumber],
-        times: Times,
+        timing: Timing,
         seed: u64,
         state: PersistentState,
         now: f64,
     ) -> Voter<T> {
         Voter {
-            times,
+            timing,
             table: state.table.clone(),
             applied: state.snapshot.index,
-            raft: Raft::new(id, voters, times, seed, state, now),
+            raft: Raft::new(id, voters, timing, seed, state, now),
             leadership: None,
             responses: Vec::new(),
             compact_after: COMPACT_AFTER,
@@ -313,7 +313,7 @@
     fn update_leadership(&mut self, now: f64) {
         if self.raft.has_committed_in_term() {
             let term = self.raft.term();
-            self.leadership.get_or_insert_with(|| Leadership::new(self.times, term, &self.table, now));
+            self.leadership.get_or_insert_with(|| Leadership::new(self.timing, term, &self.table, now));
         } else if let Some(leadership) = self.leadership.take() {
             let leader = self.other_leader();
             for p in leadership.pending {
--- a/crates/ledger/tests/growth.rs
+++ b/crates/ledger/tests/growth.rs
@@ -3,7 +3,7 @@
 
 mod sim;
 
-use pearfork_ledger::{Budget, Kind};
+use pearfork_ledger::{Budget, BudgetKind};
 use sim::SimFleet;
 
 /// Time in which all hosts join and get their shares, in milliseconds.
@@ -17,7 +17,7 @@
     fleet.check_every = 1_000;
     let processes: Vec<u64> = (0..hosts).map(|host| fleet.start_host(host)).collect();
     for number in 0..budgets {
-        let budget = Budget::new(Kind::Limit, &format!("volume-{number:03}"));
+        let budget = Budget::new(BudgetKind::Limit, &format!("volume-{number:03}"));
         processes.iter().for_each(|process| fleet.set_demand(*process, &budget, 0.4));
     }
     fleet.run(SETTLE_MS);
--- a/crates/ledger/tests/leases.rs
+++ b/crates/ledger/tests/leases.rs
@@ -2,12 +2,12 @@
 //! checks before them hold.
 
 use pearfork_ledger::{
-    Budget, BudgetRequest, Change, Fraction, Holder, HostNumber, Incarnation, Kind, Lease, LeaseManager,
-    LeaseOutcome, LeaseRequest, LeaseResponse, LeaseTable, RequestHandling, Times,
+    Budget, BudgetKind, BudgetRequest, Change, Fraction, Holder, HostNumber, Incarnation, Lease,
+    LeaseManager, LeaseOutcome, LeaseRequest, LeaseResponse, LeaseTable, RequestHandling, Timing,
 };
 
 fn archive_budget() -> Budget {
-    Budget::new(Kind::Limit, "archive")
+    Budget::new(BudgetKind::Limit, "archive")
 }
 
 fn allocate(member: u64, fraction: f64, expected_version: u64) -> Change {
@@ -53,8 +53,8 @@
 fn a_member_that_is_being_removed_gets_no_response_and_an_outdated_request_is_ignored() {
     let mut table = table_with_two_members();
     table.apply(&allocate(1, 0.5, 0));
-    let times = Times::default();
-    let mut lease_manager = LeaseManager::new(times, 1, &table, 0.0);
+    let timing = Timing::default();
+    let mut lease_manager = LeaseManager::new(timing, 1, &table, 0.0);
     let request = |seq, using: f64, version| LeaseRequest {
         host: HostNumber(0),
         nonce: 7,
@@ -80,7 +80,7 @@
     );
     assert!(lease_manager.is_renewable(Incarnation(1)));
     // The lease expires at the leader while the response still waits for its confirmation.
-    let after_expiry = times.lease_with_drift_ms() + 1.0;
+    let after_expiry = timing.lease_with_drift_ms() + 1.0;
     let changes = lease_manager.propose_changes(after_expiry, &table);
     assert!(changes.contains(&Change::Remove { member: Incarnation(1) }), "{changes:?}");
     assert!(!lease_manager.is_renewable(Incarnation(1)));
@@ -90,17 +90,17 @@
 
 #[test]
 fn a_lease_expires_a_fixed_time_after_its_request_however_late_the_response() {
-    let times = Times::default();
+    let timing = Timing::default();
     let lease = LeaseOutcome::Lease(Lease::full(Incarnation(1), Vec::new()));
-    for delay_ms in [0.0, 1.0, times.lease_ms - 1.0, times.lease_ms, 10.0 * times.lease_ms] {
+    for delay_ms in [0.0, 1.0, timing.lease_ms - 1.0, timing.lease_ms, 10.0 * timing.lease_ms] {
         let sent_at = 100.0;
-        let mut holder = Holder::new(HostNumber(0), 7, times);
+        let mut holder = Holder::new(HostNumber(0), 7, timing);
         let request = holder.next_request(sent_at);
         // A later request without a response does not extend the lease.
         holder.next_request(sent_at + delay_ms);
         let response = LeaseResponse::to(&request, lease.clone());
         let is_valid = holder.handle_response(sent_at + delay_ms, &response);
-        assert_eq!(holder.state().expires_at, sent_at + times.lease_ms, "response after {delay_ms} ms");
-        assert_eq!(is_valid, delay_ms < times.lease_ms, "response after {delay_ms} ms");
+        assert_eq!(holder.state().expires_at, sent_at + timing.lease_ms, "response after {delay_ms} ms");
+        assert_eq!(is_valid, delay_ms < timing.lease_ms, "response after {delay_ms} ms");
     }
 }
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -7,7 +7,7 @@
 
 use pearfork_ledger::raft::{PersistentState, RaftMessage};
 use pearfork_ledger::{
-    Budget, Fraction, Holder, HostNumber, Kind, LeaseRequest, LeaseResponse, LeaseTable, Times, Voter,
+    Budget, BudgetKind, Fraction, Holder, HostNumber, LeaseRequest, LeaseResponse, LeaseTable, Timing, Voter,
 };
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -15,15 +15,21 @@
 const VOTERS: usize = 3;
 const HOLDERS: usize = 3;
 
-fn times() -> Times {
-    Times { lease_ms: 400.0, drift: 0.25, renew_ms: 100.0, heartbeat_ms: 100.0, election_ms: 200.0 }
+fn timing() -> Timing {
+    Timing {
+        lease_ms: 400.0,
+        max_clock_drift: 0.25,
+        renewal_interval_ms: 100.0,
+        heartbeat_interval_ms: 100.0,
+        election_timeout_ms: 200.0,
+    }
 }
 
 /// Step by which the clock of all hosts advances, in milliseconds.
 const TICK_MS: f64 = 110.0;
 
 fn budget() -> Budget {
-    Budget::new(Kind::Limit, "archive")
+    Budget::new(BudgetKind::Limit, "archive")
 }
 
 #[derive(Clone, Debug)]
@@ -100,7 +106,7 @@
             voters: vec![None; VOTERS],
             disks: vec![disk; VOTERS],
             holders: (0..HOLDERS)
-                .map(|h| Holder::new(HostNumber(h as u16), h as u64 + 50, times()))
+                .map(|h| Holder::new(HostNumber(h as u16), h as u64 + 50, timing()))
                 .collect(),
             in_flight: Vec::new(),
             duplicated: 0,
@@ -115,7 +121,7 @@
     fn start(&mut self, v: usize) {
         let seed = v as u64 * 977 + 5;
         let disk = self.disks[v].clone();
-        self.voters[v] = Some(Voter::new(HostNumber(v as u16), &voters(), times(), seed, disk, self.now));
+        self.voters[v] = Some(Voter::new(HostNumber(v as u16), &voters(), timing(), seed, disk, self.now));
         self.process_output(v);
     }
 
--- a/crates/ledger/tests/raft.rs
+++ b/crates/ledger/tests/raft.rs
@@ -1,14 +1,14 @@
 //! Raft rules of a single voter that simulated fleets exercise too rarely to rely on.
 
 use pearfork_ledger::raft::{Output, PersistentState, Raft, RaftMessage, RaftPayload};
-use pearfork_ledger::{Change, Entry, Fraction, HostNumber, LeaseTable, Times};
+use pearfork_ledger::{Change, Entry, Fraction, HostNumber, LeaseTable, Timing};
 
 fn voters() -> Vec<HostNumber> {
     (0..3).map(HostNumber).collect()
 }
 
 fn voter(disk: &PersistentState, now: f64) -> Raft {
-    Raft::new(HostNumber(2), &voters(), Times::default(), 7, disk.clone(), now)
+    Raft::new(HostNumber(2), &voters(), Timing::default(), 7, disk.clone(), now)
 }
 
 /// Writes the records to the disk and returns the messages to send.
--- a/crates/ledger/tests/renewals.rs
+++ b/crates/ledger/tests/renewals.rs
@@ -1,13 +1,13 @@
 //! Incremental renewals: what requests and responses carry, what is repeated, and what is rejected.
 
 use pearfork_ledger::{
-    Allocation, Budget, Change, Fraction, Grant, GrantsPosition, Holder, HostNumber, Incarnation, Kind,
+    Allocation, Budget, BudgetKind, Change, Fraction, Grant, GrantsPosition, Holder, HostNumber, Incarnation,
     Lease, LeaseManager, LeaseOutcome, LeaseRequest, LeaseResponse, LeaseTable, Refusal, RenewalBase,
-    RequestHandling, Times,
+    RequestHandling, Timing,
 };
 
 fn volume(number: usize) -> Budget {
-    Budget::new(Kind::Limit, &format!("volume-{number:04}"))
+    Budget::new(BudgetKind::Limit, &format!("volume-{number:04}"))
 }
 
 /// A leader without followers: its proposals are committed at once.
@@ -19,7 +19,7 @@
 
 impl Leader {
     fn new(term: u64, table: LeaseTable, now: f64) -> Leader {
-        let manager = LeaseManager::new(Times::default(), term, &table, now);
+        let manager = LeaseManager::new(Timing::default(), term, &table, now);
         Leader { table, manager, now }
     }
 
@@ -99,7 +99,7 @@
     for host in 0..hosts {
         let nonce = u64::from(host) + 70;
         assert!(table.apply(&Change::Join { host: HostNumber(host), nonce }));
-        let mut holder = Holder::new(HostNumber(host), nonce, Times::default());
+        let mut holder = Holder::new(HostNumber(host), nonce, Timing::default());
         (0..budgets).for_each(|number| set_demand(&mut holder, number, 0.0));
         holders.push(holder);
     }
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -6,8 +6,8 @@
 
 use pearfork_ledger::raft::{PersistentState, RaftMessage};
 use pearfork_ledger::{
-    Allocation, Budget, Fraction, Held, Holder, HostNumber, Kind, LeaseOutcome, LeaseRequest, LeaseResponse,
-    LeaseTable, Times, Voter,
+    Allocation, Budget, BudgetKind, Fraction, Held, Holder, HostNumber, LeaseOutcome, LeaseRequest,
+    LeaseResponse, LeaseTable, Timing, Voter,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -123,7 +123,7 @@
     pub now: f64,
     pub rng: Rng,
     pub links: LinkModel,
-    pub times: Times,
+    pub timing: Timing,
     pub lendable: Fraction,
     pub hosts: usize,
     slots: Vec<VoterSlot>,
@@ -163,7 +163,7 @@
             now: 0.0,
             rng: Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
             links: RELIABLE,
-            times: Times::default(),
+            timing: Timing::default(),
             lendable,
             hosts,
             slots: (0..voters).map(|_| slot()).collect(),
@@ -210,14 +210,14 @@
     pub fn start_voter(&mut self, v: usize) {
         let voters: Vec<HostNumber> = (0..self.slots.len()).map(|v| HostNumber(v as u16)).collect();
         let seed = self.rng.next().to_bits();
-        let (times, local) = (self.times, self.local_time(v));
+        let (timing, local) = (self.timing, self.local_time(v));
         let slot = &mut self.slots[v];
         if slot.voter.is_some() || slot.disk_failing {
             return;
         }
         slot.generation += 1;
         slot.timer_at = f64::INFINITY;
-        let voter = Voter::new(HostNumber(v as u16), &voters, times, seed, slot.disk.clone(), local);
+        let voter = Voter::new(HostNumber(v as u16), &voters, timing, seed, slot.disk.clone(), local);
         // The log is compacted early and often, to exercise snapshots.
         slot.voter = Some(voter.with_compact_after(12));
         self.voter_step(v, |_, _| {});
@@ -242,7 +242,7 @@
         let nonce = id;
         let process = Process {
             host,
-            holder: Holder::new(HostNumber(host as u16), nonce, self.times),
+            holder: Holder::new(HostNumber(host as u16), nonce, self.timing),
             shares: BTreeMap::new(),
             paused_until: 0.0,
             applies_at: 0.0,
@@ -402,7 +402,7 @@
             p.voter = (p.voter + 1) % self.slots.len();
         }
         let local = self.now * self.clock_rates[host];
-        let next = self.now + self.times.renew_ms / self.clock_rates[host];
+        let next = self.now + self.timing.renewal_interval_ms / self.clock_rates[host];
         if p.holder.should_request() {
             let request = p.holder.next_request(local);
             self.send(host, to, EventKind::LeaseRequest { to, from: (host, id), request });
@@ -576,5 +576,5 @@
 }
 
 pub fn archive_budget() -> Budget {
-    Budget::new(Kind::Limit, "archive")
+    Budget::new(BudgetKind::Limit, "archive")
 }
--- a/crates/ledger/tests/simulated.rs
+++ b/crates/ledger/tests/simulated.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use pearfork_ledger::{Budget, Fraction, Kind};
+use pearfork_ledger::{Budget, BudgetKind, Fraction};
 use sim::{archive_budget, Rng, SimFleet, UNRELIABLE};
 
 /// A share from which on a host counts as having the whole budget. The reserve and suppressed small changes
@@ -77,7 +77,7 @@
     assert!(fleet.usable(processes[3], &archive_budget()).as_f64() > NEARLY_ALL);
     fleet.kill_voter(0);
     fleet.kill_voter(1);
-    fleet.run(fleet.times.lease_ms + 1.0);
+    fleet.run(fleet.timing.lease_ms + 1.0);
     assert_eq!(fleet.total_usable(&archive_budget()), Fraction::ZERO);
     fleet.run(60_000.0);
     assert_eq!(fleet.total_usable(&archive_budget()), Fraction::ZERO);
@@ -117,12 +117,12 @@
     let began = fleet.now;
     while !fleet.is_lease_in_flight(paused) {
         assert!(
-            fleet.now - began < 2.0 * fleet.times.renew_ms,
+            fleet.now - began < 2.0 * fleet.timing.renewal_interval_ms,
             "no lease is in flight after two renewal intervals"
         );
         assert!(fleet.step(), "no event is left");
     }
-    fleet.pause_host(5, 2.0 * fleet.times.lease_with_drift_ms());
+    fleet.pause_host(5, 2.0 * fleet.timing.lease_with_drift_ms());
     fleet.set_demand(other, &archive_budget(), 1.0);
     run_until(&mut fleet, 4_000.0, "the lease of the paused host expires", |f| {
         f.usable(other, &archive_budget()).as_f64() > NEARLY_ALL
@@ -221,7 +221,7 @@
 #[test]
 fn forty_hosts_take_turns_under_a_limit_that_admits_one_request() {
     let (mut fleet, processes) = start_fleet(29, 40, 3);
-    let burst = Budget::new(Kind::Burst, "archive");
+    let burst = Budget::new(BudgetKind::Burst, "archive");
     for p in &processes {
         fleet.set_demand(*p, &archive_budget(), 0.5);
         fleet.set_demand(*p, &burst, 0.5);
@@ -318,7 +318,8 @@
 /// With several budgets, incremental requests and responses carry only some of them.
 #[test]
 fn random_faults_with_several_budgets_grant_nothing_twice_and_the_fleet_recovers() {
-    let budgets: Vec<Budget> = (0..6).map(|n| Budget::new(Kind::Limit, &format!("volume-{n}"))).collect();
+    let budgets: Vec<Budget> =
+        (0..6).map(|n| Budget::new(BudgetKind::Limit, &format!("volume-{n}"))).collect();
     for seed in 1_001..=1_060 {
         std::panic::catch_unwind(|| run_with_random_faults(seed, &budgets))
             .unwrap_or_else(|_| panic!("seed {seed}"));
@@ -356,7 +357,8 @@
 fn demand_survives_the_failure_of_the_leader() {
     for seed in 1..=20 {
         let (mut fleet, processes) = start_fleet(seed, 12, 3);
-        let budgets: Vec<Budget> = (0..8).map(|n| Budget::new(Kind::Limit, &format!("volume-{n}"))).collect();
+        let budgets: Vec<Budget> =
+            (0..8).map(|n| Budget::new(BudgetKind::Limit, &format!("volume-{n}"))).collect();
         for (n, budget) in budgets.iter().enumerate() {
             fleet.set_demand(processes[n], budget, 1.0);
         }
--- a/crates/scale/src/child.rs
+++ b/crates/scale/src/child.rs
@@ -7,8 +7,8 @@
     Action, AttemptPolicy, Class, Effect, Event, Group, ListKind, NodeEntry, NodeState, Plan, Scheduler,
     Settings,
 };
-use pearfork_fleet::{FaultInjection, Fleet, FleetError, FleetPlan, TrafficCounts, VoterAddress};
-use pearfork_ledger::{Fraction, HostNumber, Times};
+use pearfork_fleet::{FaultInjection, FleetError, FleetMember, FleetSettings, TrafficCounts, VoterAddress};
+use pearfork_ledger::{Fraction, HostNumber, Timing};
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, Write};
 use std::net::SocketAddr;
@@ -96,7 +96,7 @@
 }
 
 struct Member {
-    fleet: Fleet,
+    fleet: FleetMember,
     scheduler: Scheduler,
     timers: Vec<Timer>,
     answered_at_mark: u64,
@@ -138,22 +138,22 @@
     scheduler_seconds: f64,
 }
 
-fn fleet_plan(assignment: &Assignment, host: u32) -> FleetPlan {
+fn fleet_plan(assignment: &Assignment, host: u32) -> FleetSettings {
     let address = |(number, address): (usize, &SocketAddr)| VoterAddress {
         host: HostNumber(number as u16),
         address: *address,
     };
     let voters: Vec<VoterAddress> = assignment.voters.iter().enumerate().map(address).collect();
     let own = voters.iter().find(|v| u32::from(v.host.0) == host);
-    FleetPlan {
+    FleetSettings {
         name: FLEET_NAME.to_owned(),
-        me: HostNumber(host as u16),
-        hosts: assignment.size.hosts,
+        host: HostNumber(host as u16),
+        max_hosts: assignment.size.hosts,
         listen: own.map(|v| v.address),
         folder: own.map(|_| assignment.folder.join(format!("voter-{host}"))),
         voters,
-        floors: Fraction::from_f64(FLOORS),
-        times: Times::default(),
+        total_floor: Fraction::from_f64(FLOORS),
+        timing: Timing::default(),
         fault_injection: FaultInjection::default(),
     }
 }
@@ -227,7 +227,7 @@
         let mut members = Vec::new();
         for host in assignment.first_host..assignment.first_host + assignment.hosts {
             let user = HollowUser::new(host, &assignment.size, clock, move_times.clone());
-            let fleet = Fleet::start(fleet_plan(assignment, host), user)?;
+            let fleet = FleetMember::start(fleet_plan(assignment, host), user)?;
             let settings = scheduler_settings(&assignment.size);
             let mut scheduler = Scheduler::new(settings, u64::from(host))
                 .map_err(|why| ChildError::Settings(why.to_string()))?;
@@ -246,16 +246,16 @@
         for member in &self.members {
             let view = member.fleet.view();
             let TrafficCounts { bytes_sent, bytes_received, messages_sent, messages_received } = view.traffic;
-            let has_lease = view.holder.lease_ms.is_some_and(|ms| ms > 0.0);
+            let has_lease = view.holder.lease_remaining_ms.is_some_and(|ms| ms > 0.0);
             sample.hosts.push(HostSample {
                 bytes: bytes_sent + bytes_received,
                 messages: messages_sent + messages_received,
-                is_leased: has_lease && view.holder.answered > member.answered_at_mark,
+                is_leased: has_lease && view.holder.leases_received > member.answered_at_mark,
             });
             if let Some(voter) = view.voter {
-                sample.leads = voter.lends;
+                sample.leads = voter.grants_leases;
                 sample.lent_budgets = voter.budgets.len();
-                sample.lent = voter.budgets.iter().map(|b| b.lent).sum();
+                sample.lent = voter.budgets.iter().map(|b| b.allocated).sum();
             }
         }
         sample.move_ms = std::mem::take(&mut self.move_times.lock().unwrap_or_else(PoisonError::into_inner));
@@ -265,7 +265,7 @@
     /// From now on a host counts as leased once it is granted a lease anew.
     pub fn mark(&mut self) {
         for member in &mut self.members {
-            member.answered_at_mark = member.fleet.view().holder.answered;
+            member.answered_at_mark = member.fleet.view().holder.leases_received;
         }
     }
 
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -2,8 +2,8 @@
 
 use crate::load::{Load, DEMAND};
 use crate::size::Size;
-use pearfork_fleet::{Demand, Portion, User};
-use pearfork_ledger::{Budget, Fraction, Kind};
+use pearfork_fleet::{BudgetConsumer, BudgetShare, Demand};
+use pearfork_ledger::{Budget, BudgetKind, Fraction};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -68,7 +68,7 @@
             let name = format!("volume-{number:05}");
             Volume {
                 number,
-                budgets: [Budget::new(Kind::Limit, &name), Budget::new(Kind::Burst, &name)],
+                budgets: [Budget::new(BudgetKind::Limit, &name), Budget::new(BudgetKind::Burst, &name)],
                 moves: 0,
                 waiting_since_ms: None,
             }
@@ -95,7 +95,7 @@
     }
 }
 
-impl User for HollowUser {
+impl BudgetConsumer for HollowUser {
     fn demand(&mut self) -> Vec<Demand> {
         let now = self.clock.now_ms();
         let least = self.least;
@@ -112,17 +112,22 @@
                 volume.waiting_since_ms = is_newcomer.then(|| self.load.moved_at(number, now));
             }
             let asked = Fraction::from_f64(DEMAND * stray);
-            let demand =
-                |budget: &Budget| Demand { budget: budget.clone(), asked, least, turn: Duration::ZERO };
+            let demand = |budget: &Budget| Demand {
+                budget: budget.clone(),
+                demand: asked,
+                min_fraction: least,
+                turn: Duration::ZERO,
+            };
             demands.extend(volume.budgets.iter().map(demand));
         }
         demands
     }
 
-    fn apply(&mut self, portions: &[Portion]) -> bool {
+    fn apply(&mut self, portions: &[BudgetShare]) -> bool {
         let now = self.clock.now_ms();
         let valid_at = Instant::now();
-        for portion in portions.iter().filter(|p| valid_at < p.until && p.lent.as_f64() >= SERVED_FROM) {
+        for portion in portions.iter().filter(|p| valid_at < p.expires_at && p.leased.as_f64() >= SERVED_FROM)
+        {
             let Some(at) = self.by_rate.get(&portion.budget) else { continue };
             if let Some(since) = self.volumes[*at].waiting_since_ms.take() {
                 self.move_times.lock().unwrap_or_else(PoisonError::into_inner).push(now - since);
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control plane of a large fleet on one machine: real voters, and hollow hosts that share processes.
 //!
-//! A hollow host is the real membership of a host ([`pearfork_fleet::Fleet`]: its lease, links, threads and sockets) and a
+//! A hollow host is the real membership of a host ([`pearfork_fleet::FleetMember`]: its lease, links, threads and sockets) and a
 //! real [`pearfork::Scheduler`] that knows a list of nodes, without clients. Demands are drawn from a seed. Costs are counted
 //! by role: bytes and messages by the transport, processor time, memory, threads and descriptors from `/proc`.
 
