--- a/tests/large_node_lists.rs
+++ b/tests/large_node_lists.rs
@@ -63,8 +63,8 @@
     assert!(allocations.bytes_current <= limit, "{} bytes, {limit} allowed", allocations.bytes_current);
 }
 
-/// Returns the nodes that a host sends to, of `count` nodes in 20 shards, with its number of requests for
-/// each. One request arrives each 7 ms and is served after 3 ms.
+/// Returns the nodes that a host sends to, of `count` nodes (3,200 or fewer) in 20 shards, with the number of
+/// requests for each. One of `requests` requests (3,000 or fewer) arrives each 7 ms and is served after 3 ms.
 fn nodes_used(count: u32, seed: u64, requests: u32) -> BTreeMap<u32, u32> {
     let mut host = Host { scheduler: Scheduler::new(many_classes(), seed).unwrap(), timers: Vec::new() };
     host.at(0.0, Event::NodeList(ListKind::Full, list_of(count)));
--- a/tests/many_hosts.rs
+++ b/tests/many_hosts.rs
@@ -8,7 +8,8 @@
     Settings { hosts, ..settings() }
 }
 
-/// Serves one request whose response reports `queue` waiting requests and takes `took` milliseconds.
+/// Serves one request whose response reports `queue` waiting requests and takes `took` milliseconds, which
+/// tests set to 10 ms for each waiting request.
 fn serve_one(h: &mut Host, id: u32, now: f64, queue: Option<f64>, took: f64) {
     h.run_timers_until(now);
     let node = sent(&h.at(now, Event::Request(request(id, now + 900.0))))[0].1;
