--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -763,13 +763,15 @@
         } else if connection_failed && n.last_failure_at < now {
             (n.last_failure_at, n.connection_failures) = (now, n.connection_failures + 1);
             if n.connection_failures == UNREACHABLE_AFTER_FAILURES {
-                actions
-                    .push(Action::Log(format!("node {} is unreachable after consecutive connection failures; one attempt is sent after each backoff", attempt.node)));
+                actions.push(Action::Log(format!(
+                    "node {} is unreachable; one attempt is sent after each backoff",
+                    attempt.node
+                )));
             }
         }
-        let sane = |v: Option<f64>, top: f64| v.filter(|v| (0.0..top).contains(v));
-        let requests_at_node = sane(outcome.queue, 1e4).or(sane(outcome.in_flight, 1e4));
-        let reported_load = requests_at_node.map(|c| c * sane(outcome.latency_ms, 1e5).unwrap_or(1.0));
+        let in_range = |v: Option<f64>, limit: f64| v.filter(|v| (0.0..limit).contains(v));
+        let requests_at_node = in_range(outcome.queue, 1e4).or(in_range(outcome.in_flight, 1e4));
+        let reported_load = requests_at_node.map(|c| c * in_range(outcome.latency_ms, 1e5).unwrap_or(1.0));
         // A node that does not respond counts as full for as long as the attempt waited. A response to
         // anything that was sent later cancels this: otherwise one lost response, or one slow and expensive
         // request, would close a healthy node for seconds. The wait is not stored as a load, because a later,
@@ -831,7 +833,7 @@
             }
             let plan = &self.settings.plans[usize::from(r.request.plan)];
             if let (Some(used_percent), Some(v)) =
-                (sane(outcome.used_percent, 1e6), self.state.volumes.get_mut(&r.request.volume))
+                (in_range(outcome.used_percent, 1e6), self.state.volumes.get_mut(&r.request.volume))
             {
                 let host_share = v.own_units.decayed(now, VOLUME_USE_WINDOW_MS)
                     / (used_percent / 100.0 * plan.nominal).max(1e-3);
--- a/tests/cold_nodes.rs
+++ b/tests/cold_nodes.rs
@@ -199,9 +199,13 @@
         let served: Vec<String> =
             summary.cold.iter().map(|c| format!("{:.2}", c.served / c.requested)).collect();
         println!(
-            "{hosts} hosts, notified within {notified_within_ms} ms, {runs} runs: worst window {:.2} of the bound, by notified \
-             hosts {:.2}, violations {}; served at cold nodes by class {served:?}, least fraction of what they can do {:.2?}",
-            summary.worst_windows.all, summary.worst_windows.notified, summary.worst_windows.violations, summary.least_served
+            "{hosts} hosts, notified within {notified_within_ms} ms, {runs} runs: worst window {:.2} of the \
+             bound, by notified hosts {:.2}, violations {}; served at cold nodes by class {served:?}, least \
+             fraction of what they can do {:.2?}",
+            summary.worst_windows.all,
+            summary.worst_windows.notified,
+            summary.worst_windows.violations,
+            summary.least_served
         );
         let min_ratios = if is_even { MIN_SERVED_RATIOS } else { [0.0; 3] };
         assert!(
