--- a/fuzz/fuzz_targets/rules.rs
+++ b/fuzz/fuzz_targets/rules.rs
@@ -14,9 +14,9 @@
         }
     };
     rules.warnings().render("a.rules", bytes, Gravity::Warning);
-    let written = format(bytes).expect("what compiles can be written anew");
-    assert_eq!(format(written.as_bytes()).as_deref(), Ok(written.as_str()));
-    let again = Rules::compile(written.as_bytes()).expect("the same rules");
+    let formatted = format(bytes).expect("what compiles can be formatted again");
+    assert_eq!(format(formatted.as_bytes()).as_deref(), Ok(formatted.as_str()));
+    let again = Rules::compile(formatted.as_bytes()).expect("the same rules");
     assert_eq!(again.worst_steps(), rules.worst_steps());
     for (op, lba, volume, fua) in [("read", 0, "a", false), ("write", 4096, "rel-1", true), ("flush", u64::MAX, "", false)] {
         let fields = Fields { op, lba, volume, fua, bytes: lba / 2, blocks: lba / 3, ..Fields::default() };
--- a/src/node_age.rs
+++ b/src/node_age.rs
@@ -3,12 +3,12 @@
 //! Node lists state a node's last start as wall time. The host's clock is the wall clock at its own start and
 //! monotonic from there, so it may differ by any amount from the clock that stated the start.
 //!
-//! A node that appears while the host follows discovery cannot have started long before the host last heard
-//! from discovery. If the stated start says otherwise, one of the clocks is wrong, and the node counts as
-//! just started: slow start then treats it as cold, which is the safe side. A node of the first list is
+//! A node that appears while the host follows discovery cannot have started long before the host's last
+//! contact with discovery. If the stated start says otherwise, one of the clocks is wrong, and the node counts
+//! as just started: slow start then treats it as cold, which is the safe side. A node of the first list is
 //! judged by its stated start, and again once the host's clock is found to be ahead.
 
-/// Longest delay with which discovery reports a start, in addition to the time in which nothing was heard.
+/// Longest delay with which discovery reports a start, in addition to the time without contact.
 const MAX_REPORT_DELAY_MS: f64 = 15_000.0;
 /// A start that is stated this much before the known one belongs to a clock that was set back, so it is a new
 /// start.
@@ -22,8 +22,8 @@
 /// What a host knows about the clock that stated starts are read from.
 #[derive(Default)]
 pub(crate) struct StartClock {
-    /// When discovery was last heard.
-    heard_at: Option<f64>,
+    /// When discovery last responded.
+    last_contact_at: Option<f64>,
     /// The least time by which the host's clock is ahead of the other.
     lead_ms: f64,
 }
@@ -44,11 +44,11 @@
         if stated_ms <= 0.0 {
             return (UpSince { at_ms: f64::NEG_INFINITY, is_stated: true }, false);
         }
-        let Some(heard_at) = self.heard_at else {
+        let Some(last_contact_at) = self.last_contact_at else {
             return (UpSince { at_ms: self.corrected(now, stated_ms), is_stated: true }, false);
         };
         let age_ms = now - stated_ms;
-        let max_age_ms = (now - heard_at).max(0.0) + MAX_REPORT_DELAY_MS;
+        let max_age_ms = (now - last_contact_at).max(0.0) + MAX_REPORT_DELAY_MS;
         if (0.0..=max_age_ms).contains(&age_ms) {
             return (UpSince { at_ms: stated_ms, is_stated: false }, false);
         }
@@ -62,8 +62,8 @@
         (stated_ms + self.lead_ms).min(now)
     }
 
-    /// Notes that discovery was heard, with or without changes.
-    pub(crate) fn heard(&mut self, now: f64) {
-        self.heard_at = Some(now);
+    /// Notes that discovery responded, with or without changes.
+    pub(crate) fn note_contact(&mut self, now: f64) {
+        self.last_contact_at = Some(now);
     }
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -58,7 +58,7 @@
 /// be told from lost ones.
 const OVERDUE_SAMPLE_INTERVAL: u32 = 8;
 /// A request for which no node is ready, or only a cold one without capacity, is refused in this range of its
-/// client's time; the rest is left for the client's next try. A host that stood still past the range keeps
+/// client's time; the rest is left for the client's next try. A host that was stalled past the range keeps
 /// the request instead.
 const UNSENT_REFUSAL_RATIOS: (f64, f64) = (0.45, 0.5);
 /// Nodes that are compared for a new object.
@@ -75,7 +75,7 @@
 /// Fraction of a guarded budget that is used; the rest covers clock differences and rounding.
 const GUARDED_BUDGET_RATIO: f64 = 0.9;
 /// The same for a volume's limit that the fleet leases to its hosts. It is closer to the whole because no
-/// share is lent twice.
+/// share is leased twice.
 const LEASED_LIMIT_RATIO: f64 = 0.98;
 /// Fraction of a cold node's capacity that is used, since hosts use a shard unevenly and its load may rise.
 const COLD_NODE_LOAD_RATIO: f64 = 0.5;
@@ -87,7 +87,7 @@
 /// Interval at which requests that are held back by a limit, a backoff or a delay are checked again.
 const TICK_MS: f64 = 10.0;
 /// Tick interval while no request is open. A host whose events are more than HOST_STALL_MS apart while a tick
-/// is due stood still itself.
+/// is due was stalled itself.
 const IDLE_TICK_MS: f64 = 50.0;
 const HOST_STALL_MS: f64 = 150.0;
 /// Nodes that are gone and volumes without requests are remembered for this long.
@@ -745,7 +745,7 @@
     ) {
         let Some(n) = self.state.nodes.get_mut(&attempt.node) else { return };
         n.in_flight = n.in_flight.saturating_sub(1);
-        // The transport's own measurement is preferred: a host that stood still receives responses late.
+        // The transport's own measurement is preferred: a host that was stalled receives responses late.
         let response_time = if (0.0..now - attempt.sent_at).contains(&outcome.elapsed_ms) {
             outcome.elapsed_ms
         } else {
@@ -1094,7 +1094,7 @@
             }
         }
         if kind != ListKind::Cached {
-            self.state.start_clock.heard(now);
+            self.state.start_clock.note_contact(now);
         }
         if any_clock_corrected {
             self.state.correct_starts(now);
@@ -1121,7 +1121,7 @@
         }
     }
 
-    /// Detects that this host itself stood still: a stall, a suspended machine or a clock that jumps.
+    /// Detects that this host itself was stalled, by a suspended machine or a clock jump for example.
     ///
     /// Otherwise the gap would count as silence of all nodes, and requests that arrived during it would get
     /// their whole aim from now on.
@@ -1174,7 +1174,7 @@
 
 impl Volume {
     /// Limits: returns the tokens in this host's bucket of the volume. A leased share ends at its time even
-    /// if the host stood still then, and the tokens above the floor's burst end with it.
+    /// if the host was stalled then, and the tokens above the floor's burst end with it.
     fn refilled(&self, now: f64, plan: &Plan, share: LimitShare) -> f64 {
         share.segments(self.limit_tokens_at, now).into_iter().fold(
             self.limit_tokens,
--- a/src/state.rs
+++ b/src/state.rs
@@ -230,7 +230,7 @@
     pub(crate) limit_tokens_at: f64,
     /// Units of requests that wait and have not been taken from the limit yet.
     pub(crate) queued_units: f64,
-    /// Units that were requested through this host of late.
+    /// Units that were requested through this host recently.
     pub(crate) own_units: DecayingSum,
     /// Estimated fraction of the volume's use that comes through this host.
     pub(crate) host_share_ratio: f64,
@@ -293,9 +293,9 @@
     pub(crate) accepted_at: VecDeque<f64>,
     /// When retries and hedges were sent; they use up the retry budget.
     pub(crate) retries_sent_at: VecDeque<f64>,
-    /// Units that each shard served for this host of late.
+    /// Units that each shard served for this host recently.
     pub(crate) shard_units_served: BTreeMap<u16, DecayingSum>,
-    /// Units that were requested of all shards of late.
+    /// Units that were requested of all shards recently.
     pub(crate) units_requested: DecayingSum,
     /// Number of shards in the node list.
     pub(crate) listed_shards: f64,
@@ -308,11 +308,11 @@
     pub(crate) fit_offsets_ms: Vec<f64>,
     /// The same from the responses of warm nodes alone.
     pub(crate) warm_offsets_ms: Vec<f64>,
-    /// Fraction of overdue attempts, of late, that were never answered.
+    /// Fraction of recent overdue attempts that were never answered.
     pub(crate) lost_ratio: f64,
     pub(crate) tick_pending: bool,
     pub(crate) last_event_at: f64,
-    /// Begin and end of the last time that the host itself stood still.
+    /// Begin and end of the last time that the host itself was stalled.
     pub(crate) last_stall: (f64, f64),
     pub(crate) watch_failures: u32,
     pub(crate) swept_at: f64,
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -49,21 +49,21 @@
     let mut h = Host::with_nodes(limited(), &[entry(1, 0)]);
     h.advance_to(0.0, share(1.0, 0.1, 3_000.0));
     let mut id = 0;
-    let lent = serve_steadily(&mut h, &mut id, 1.0, 3_000.0);
-    assert!((LIMIT * 3.0 * 0.93..=LIMIT * 3.0 + BURST).contains(&lent), "{lent}");
+    let leased = serve_steadily(&mut h, &mut id, 1.0, 3_000.0);
+    assert!((LIMIT * 3.0 * 0.93..=LIMIT * 3.0 + BURST).contains(&leased), "{leased}");
     // The host is not notified at 3 s: its lease ends by itself.
     let floor = serve_steadily(&mut h, &mut id, 3_000.0, 7_000.0);
     assert!(floor <= LIMIT * 4.0 * 0.1 + BURST * 0.1 + 2.0 && floor > 0.0, "{floor}");
 }
 
-/// Guards against a host that stood still past its lease: its queued requests and stored tokens belong to a
+/// Guards against a host that was stalled past its lease: its queued requests and stored tokens belong to a
 /// share that another host holds by then.
 #[test]
-fn a_host_that_stood_still_past_its_lease_sends_nothing() {
+fn a_host_that_was_stalled_past_its_lease_sends_nothing() {
     let mut h = Host::with_nodes(limited(), &[entry(1, 0)]);
     h.advance_to(0.0, share(1.0, 0.0, 2_000.0));
     h.at(1.0, Event::Request(request(1, 60_000.0)));
-    // The bucket fills for two seconds without use. Then the host stands still until long after, and all
+    // The bucket fills for two seconds without use. Then the host is stalled until long after, and all
     // timers expire at once, late.
     let mut out = h.at(9_000.0, Event::Request(request(2, 10_000.0)));
     for (_, label) in std::mem::take(&mut h.timers) {
--- a/tests/many_hosts.rs
+++ b/tests/many_hosts.rs
@@ -120,7 +120,7 @@
     }
     h.run_timers_until(14_000.0);
     assert_eq!(sent(&h.at(14_000.0, Event::Request(request(50, 14_990.0)))), [(50, 7)]);
-    // The host stands still for 600 ms and then sees a new request before the response that arrived earlier.
+    // The host is stalled for 600 ms and then sees a new request before the response that arrived earlier.
     let done = h.at(14_600.0, Event::Request(request(51, 15_590.0)));
     assert_eq!(sent(&done), [(51, 7)], "a new request goes to the node, which was never silent");
     // A request whose aim ended during the gap is late, and is not sent beside other work.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -291,7 +291,7 @@
     assert!(final_answer_at(&h.run_timers_until(1000.0), 2).is_some());
 }
 
-/// Requests that arrived while the host stood still are late through no fault of their clients; refusing them
+/// Requests that arrived while the host was stalled are late through no fault of their clients; refusing them
 /// at once would waste the time that they have left.
 #[test]
 fn a_request_found_late_after_a_host_stall_is_not_refused_for_that() {
@@ -306,7 +306,7 @@
 /// Returns the units that a host sends in two seconds to a node that restarts in a shard of four, and the
 /// refused requests. Two units are requested each 10 ms; the restarted node takes five times as long as
 /// before.
-fn restart_among_four() -> (f64, usize) {
+fn restart_in_a_shard_of_four() -> (f64, usize) {
     let nodes: Vec<NodeEntry> = (1..=4).map(|node| entry(node, 0)).collect();
     let mut host = Host::new(settings());
     // Milliseconds of the Unix epoch, as on real hosts.
@@ -345,7 +345,7 @@
     // Two hosts request 400 units per second of the four nodes, so each serves at least 100. Cold, it can
     // take twice a fifth of that for two seconds: 80 units, which are N = 40 requests. With random deviation,
     // N + 2 sqrt(N) + 2 is 54.6 requests for both hosts.
-    let (units, _) = restart_among_four();
+    let (units, _) = restart_in_a_shard_of_four();
     assert!(units > 0.0 && units <= 54.6, "{units} units by one of two hosts");
 }
 
@@ -353,5 +353,5 @@
 /// shard's requests.
 #[test]
 fn requests_beyond_a_cold_nodes_capacity_go_to_its_neighbours() {
-    assert_eq!(restart_among_four().1, 0);
+    assert_eq!(restart_in_a_shard_of_four().1, 0);
 }
