--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -15,13 +15,13 @@
 }
 
 fn share(share: f64, floor: f64, until_ms: f64) -> Event {
-    let hosts = |p: f64| if p > 0.0 { 1.0 / p } else { f64::INFINITY };
-    let (of_rate, floor_divisor) = (hosts(share), hosts(floor));
+    let divide = |p: f64| if p > 0.0 { 1.0 / p } else { f64::INFINITY };
+    let (divisor, floor_divisor) = (divide(share), divide(floor));
     Event::LimitShare {
         volume: 1,
         plan: 0,
-        rate_divisor: of_rate,
-        burst_divisor: of_rate,
+        rate_divisor: divisor,
+        burst_divisor: divisor,
         floor_divisor,
         until_ms,
     }
@@ -112,8 +112,8 @@
             }
             timer_actions.sort_by(|a, b| a.0.total_cmp(&b.0));
             timer_actions.retain(|(_, _, a)| matches!(a, Action::Send { .. }));
-            timer_actions.iter().for_each(|(when, ..)| bucket.draw(*when));
-            timer_actions.iter().for_each(|(_, i, a)| bucket.answer(now, &mut all[*i], a));
+            timer_actions.iter().for_each(|(when, ..)| bucket.take(*when));
+            timer_actions.iter().for_each(|(_, i, a)| bucket.serve(now, &mut all[*i], a));
             let host = next(hosts as u64) as usize;
             match next(4) {
                 0 => {
@@ -133,7 +133,7 @@
                     for _ in 0..next(12) {
                         id += 1;
                         let out = all[host].at(now, Event::Request(request(id, now + 300.0)));
-                        out.iter().for_each(|a| bucket.sent_now(now, &mut all[host], a));
+                        out.iter().for_each(|a| bucket.take_and_serve(now, &mut all[host], a));
                     }
                 }
             }
@@ -151,24 +151,24 @@
 }
 
 impl TokenBucket {
-    fn draw(&mut self, when: f64) {
+    fn take(&mut self, when: f64) {
         self.left = (self.left + LIMIT * (when - self.at) / 1_000.0).min(BURST) - 2.0;
         (self.at, self.sent) = (when, self.sent + 1);
         assert!(self.left >= -1e-6, "seed {} at {when}: {}", self.seed, self.left);
     }
 
-    fn sent_now(&mut self, now: f64, host: &mut Host, action: &Action) {
+    fn take_and_serve(&mut self, now: f64, host: &mut Host, action: &Action) {
         if matches!(action, Action::Send { .. }) {
-            self.draw(now);
-            self.answer(now, host, action);
+            self.take(now);
+            self.serve(now, host, action);
         }
     }
 
     /// Serves an attempt at once, and sends what that releases.
-    fn answer(&mut self, now: f64, host: &mut Host, action: &Action) {
+    fn serve(&mut self, now: f64, host: &mut Host, action: &Action) {
         let Action::Send { id, node, .. } = action else { return };
         for a in host.at(now, Event::AttemptEnded(outcome(*id, 0, *node, AttemptResult::Served))) {
-            self.sent_now(now, host, &a);
+            self.take_and_serve(now, host, &a);
         }
     }
 }
--- a/tests/many_hosts.rs
+++ b/tests/many_hosts.rs
@@ -4,7 +4,7 @@
 use common::*;
 use pearfork::*;
 
-fn settings_for(hosts: u32) -> Settings {
+fn settings_for_hosts(hosts: u32) -> Settings {
     Settings { hosts, ..settings() }
 }
 
@@ -21,7 +21,7 @@
 #[test]
 fn a_reported_backlog_refuses_although_the_hosts_own_envelopes_are_empty() {
     for hosts in [40, 150] {
-        let mut h = Host::with_nodes(settings_for(hosts), &[entry(7, 0)]);
+        let mut h = Host::with_nodes(settings_for_hosts(hosts), &[entry(7, 0)]);
         for id in 0..30 {
             let queue = f64::from(id % 4);
             serve_one(&mut h, id, 1.0 + 1_000.0 * f64::from(id), Some(queue), 10.0 + 10.0 * queue);
@@ -36,7 +36,7 @@
 
 #[test]
 fn invalid_reports_leave_the_decision_to_the_hosts_own_envelopes() {
-    let mut h = Host::with_nodes(settings_for(100), &[entry(7, 0)]);
+    let mut h = Host::with_nodes(settings_for_hosts(100), &[entry(7, 0)]);
     let invalid = [f64::NAN, -3.0, f64::INFINITY, 1e30, f64::NEG_INFINITY];
     for id in 0..60 {
         serve_one(
@@ -53,7 +53,7 @@
 #[test]
 fn a_cold_node_is_used_although_the_even_share_is_less_than_one_request() {
     for hosts in [40, 150] {
-        let mut h = Host::with_nodes(settings_for(hosts), &[entry(7, 0)]);
+        let mut h = Host::with_nodes(settings_for_hosts(hosts), &[entry(7, 0)]);
         // The shard serves this host one request of two units each half second.
         let mut now = 1.0;
         for id in 0..80 {
@@ -86,7 +86,7 @@
 #[test]
 fn a_node_that_does_not_respond_gets_few_new_objects() {
     // A node that does not respond reports nothing: the time that an attempt waited in vain counts instead.
-    let mut h = Host::with_nodes(settings_for(100), &[entry(7, 0), entry(8, 1)]);
+    let mut h = Host::with_nodes(settings_for_hosts(100), &[entry(7, 0), entry(8, 1)]);
     let mut unanswered = 0;
     for id in 0..60 {
         let t = 1.0 + f64::from(id) * 400.0;
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_stall_of_the_host_does_not_count_as_silence_of_the_nodes() {
-    let mut h = Host::with_nodes(settings_for(100), &[entry(7, 0)]);
+    let mut h = Host::with_nodes(settings_for_hosts(100), &[entry(7, 0)]);
     for id in 0..30 {
         let queue = f64::from(id % 2);
         serve_one(&mut h, id, 1.0 + 400.0 * f64::from(id), Some(queue), 10.0 + 10.0 * queue);
@@ -131,14 +131,14 @@
 fn any_number_of_hosts_and_nodes_works() {
     for hosts in [1, 10_000] {
         let nodes: Vec<NodeEntry> = (0..400).map(|n| entry(n, n as u16)).collect();
-        let mut h = Host::with_nodes(settings_for(hosts), &nodes);
+        let mut h = Host::with_nodes(settings_for_hosts(hosts), &nodes);
         // More hosts than there are, none, and values that are no valid number.
         for (id, volume_hosts) in [(1, 1e9), (2, 0.0), (3, f64::NAN), (4, -5.0)] {
             let q = Request { volume_hosts, shard: None, ..request(id, 900.0) };
             assert_eq!(sent(&h.at(1.0, Event::Request(q))).len(), 1, "request {id}");
         }
     }
-    let none = Scheduler::new(settings_for(0), 1).err().map(|e| e.field);
+    let none = Scheduler::new(settings_for_hosts(0), 1).err().map(|e| e.field);
     assert_eq!(none, Some("hosts".to_owned()));
 }
 
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -21,6 +21,7 @@
     request: Request,
     ended: bool,
     final_answers: u32,
+    /// Time, node and result of each attempt.
     sends: Vec<(f64, u32, Option<AttemptResult>)>,
     last_ended_at: f64,
 }
@@ -28,15 +29,18 @@
 struct Check {
     settings: Settings,
     requests: BTreeMap<u32, RequestLog>,
+    /// Request and attempt number.
     in_flight: Vec<(u32, u16)>,
     not_ready_since: HashMap<u32, f64>,
     started: HashMap<u32, f64>,
+    /// Time, node and units of what was sent to cold nodes.
     cold: Vec<(f64, u32, f64)>,
     /// Time, shard and units of what was served.
     served: Vec<(f64, u16, f64)>,
     accepted_at: Vec<f64>,
     retries_at: Vec<f64>,
     hedges: usize,
+    /// Tokens of each volume's limit, and when they were counted.
     limit_buckets: HashMap<u64, (f64, f64)>,
 }
 
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -175,12 +175,12 @@
         h.run_timers_until(now);
         assert_eq!(sent(&send_request(&mut h, now, id)), [(id, 7)]);
         h.run_timers_until(now + took);
-        let reason_for = AttemptOutcome {
+        let ended = AttemptOutcome {
             queue: Some(queue),
             elapsed_ms: took,
             ..outcome(id, 0, 7, AttemptResult::Served)
         };
-        h.at(now + took, Event::AttemptEnded(reason_for));
+        h.at(now + took, Event::AttemptEnded(ended));
     }
     assert_eq!(reason_of(&send_request(&mut h, 30_320.0, 52)), Some(Reason::Prediction));
 
