--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -53,7 +53,7 @@
 
 /// Number of leave requests that are sent, since a message may be lost.
 const LEAVE_REPEATS: u32 = 3;
-/// Interval between them.
+/// Interval between leave requests.
 const LEAVE_INTERVAL: Duration = Duration::from_millis(30);
 /// Delay after which a reduced fraction is declared: other hosts can get it only once the ledger knows.
 const DECLARE_WITHIN: Duration = Duration::from_millis(5);
@@ -185,8 +185,8 @@
         for (budget, allocation) in unconfirmed {
             self.holder.confirm(&budget, allocation);
         }
-        let before: BTreeMap<&Budget, Fraction> = self.shares.iter().map(|p| (&p.budget, p.leased)).collect();
-        let decreased = shares.iter().any(|p| before.get(&p.budget).is_some_and(|leased| p.leased < *leased));
+        let before: BTreeMap<&Budget, Fraction> = self.shares.iter().map(|s| (&s.budget, s.leased)).collect();
+        let decreased = shares.iter().any(|s| before.get(&s.budget).is_some_and(|leased| s.leased < *leased));
         self.shares = shares;
         decreased
     }
@@ -230,7 +230,7 @@
         let (state, now) = (self.holder.state(), self.clock.now_ms());
         let floor = if state.superseded { 0.0 } else { self.settings.floor().as_f64() };
         let is_valid = now < state.expires_at;
-        let line = |d: &Demand| HeldBudgetView {
+        let held_budget = |d: &Demand| HeldBudgetView {
             budget: d.budget.to_string(),
             floor,
             leased: if is_valid { self.holder.held(&d.budget).fraction.as_f64() } else { 0.0 },
@@ -243,7 +243,7 @@
             current_voter: self.voters.current().map(|voter| voter.0),
             requests_sent: self.requests_sent,
             leases_received: self.leases_received,
-            budgets: demand.iter().map(line).collect(),
+            budgets: demand.iter().map(held_budget).collect(),
         });
     }
 
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -202,12 +202,12 @@
     }
 
     pub(crate) fn set_links(&self, statuses: &HashMap<HostNumber, LinkStatus>) {
-        let line = |(host, status): (&HostNumber, &LinkStatus)| LinkView {
+        let link = |(host, status): (&HostNumber, &LinkStatus)| LinkView {
             voter: host.0,
             is_up: status.is_up,
             refusal: status.refusal.clone(),
         };
-        let mut links: Vec<LinkView> = statuses.iter().map(line).collect();
+        let mut links: Vec<LinkView> = statuses.iter().map(link).collect();
         links.sort_by_key(|l| l.voter);
         self.lock().links = links;
     }
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -285,7 +285,7 @@
 
     #[test]
     fn state_survives_reopening_and_a_second_process_is_refused() {
-        let temp = TempFolder::new("again");
+        let temp = TempFolder::new("reopen");
         let folder = StoreFolder::lock(&temp.0).unwrap();
         let (mut store, state) = open(&folder).unwrap();
         assert_eq!((state.term, state.entries.len()), (0, 0));
@@ -351,9 +351,9 @@
 
     #[test]
     fn a_disk_fault_is_reported_and_earlier_state_is_kept() {
-        let temp = TempFolder::new("trouble");
+        let temp = TempFolder::new("fault");
         let folder = StoreFolder::lock(&temp.0).unwrap();
-        let fault_file = temp.0.join("trouble");
+        let fault_file = temp.0.join("fault");
         let disk = || Box::new(FaultyDisk::new(RealDisk::default(), fault_file.clone()));
         let (mut store, _) = Store::open(&folder, disk(), header("f", 1), Fraction::from_f64(0.5)).unwrap();
         store.append(records()).unwrap();
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -34,7 +34,7 @@
     }
 
     fn apply(&mut self, shares: &[BudgetShare]) -> bool {
-        *self.share.lock().unwrap() = shares.iter().find(|p| p.budget == archive_budget()).cloned();
+        *self.share.lock().unwrap() = shares.iter().find(|s| s.budget == archive_budget()).cloned();
         true
     }
 }
@@ -43,7 +43,7 @@
     fn usable(&self) -> f64 {
         let share = self.share.lock().unwrap();
         let leased =
-            share.as_ref().filter(|p| Instant::now() < p.expires_at).map_or(Fraction::ZERO, |p| p.leased);
+            share.as_ref().filter(|s| Instant::now() < s.expires_at).map_or(Fraction::ZERO, |s| s.leased);
         leased.as_f64()
     }
 }
@@ -110,7 +110,7 @@
     let members: Vec<FleetMember> = settings
         .iter()
         .zip(&consumers)
-        .map(|(p, c)| FleetMember::start(p.clone(), c.clone()).unwrap())
+        .map(|(s, c)| FleetMember::start(s.clone(), c.clone()).unwrap())
         .collect();
     *consumers[3].demand.lock().unwrap() = 1.0;
     wait_until("the only host with demand has nearly the whole budget", || consumers[3].usable() > 0.9);
--- a/crates/ledger/src/lease_manager.rs
+++ b/crates/ledger/src/lease_manager.rs
@@ -279,8 +279,8 @@
         changes
     }
 
-    /// Stores the targets of a division. A member whose target below its held fraction changed has to be
-    /// notified.
+    /// Stores the targets of a division. A member has to be notified if its target, capped at the fraction that
+    /// it holds, has changed.
     fn set_targets(&mut self, budget: &Budget, claims: &[Claim], targets: &[Fraction]) {
         let before = self.targets.remove(budget).unwrap_or_default();
         for (claim, target) in claims.iter().zip(targets) {
