--- a/crates/host/src/units.rs
+++ b/crates/host/src/units.rs
@@ -1,65 +1,66 @@
-//! Times and sizes as the settings write them: a number and its unit, never a bare number.
+//! Durations and sizes as the settings write them: a number with its unit, never a bare number.
 
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 
-/// A span of time, read from text such as `250ms`, `1.2s` or `2min`.
+/// A duration, parsed from text such as `250ms`, `1.2s` or `2min`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Span(f64);
 
 impl Span {
-    /// So many milliseconds; what is negative or not finite becomes 0.
+    /// Creates a duration from milliseconds; negative and non-finite values become 0.
     pub fn from_ms(ms: f64) -> Span {
         Span(if ms.is_finite() { ms.max(0.0) } else { 0.0 })
     }
 
-    /// In milliseconds.
+    /// The duration in milliseconds.
     pub fn ms(self) -> f64 {
         self.0
     }
 
-    /// For the clock of the system.
+    /// The duration as a [`std::time::Duration`].
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_secs_f64(self.0 / 1_000.0)
     }
 }
 
-/// A number of bytes, read from text such as `512B`, `64KiB` or `1GiB`.
+/// A number of bytes, parsed from text such as `512B`, `64KiB` or `1GiB`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(u64);
 
 impl Size {
-    /// So many bytes.
+    /// Creates a size from a number of bytes.
     pub fn from_bytes(bytes: u64) -> Size {
         Size(bytes)
     }
 
-    /// In bytes.
+    /// The size in bytes.
     pub fn bytes(self) -> u64 {
         self.0
     }
 }
 
-/// A figure that can't be read.
+/// A text that is not a duration or size.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
-    /// No unit after the number.
+    /// The number has no unit.
     #[error("`{0}` has no unit; write one of {1} after the number")]
-    NoUnit(String, &'static str),
-    /// Not a number, negative, or beyond reason.
-    #[error("`{0}` is no number with a unit; write a number followed by one of {1}")]
-    NoNumber(String, &'static str),
+    MissingUnit(String, &'static str),
+    /// Not a number with a known unit; negative numbers, fractions of a byte and sizes over 2^53 bytes
+    /// included.
+    #[error("`{0}` is not a valid number with a unit; write a number followed by one of {1}")]
+    Invalid(String, &'static str),
 }
 
-const TIMES: &str = "us, ms, s, min, h";
-const SIZES: &str = "B, KiB, MiB, GiB, TiB";
+const TIME_UNITS: &str = "us, ms, s, min, h";
+const SIZE_UNITS: &str = "B, KiB, MiB, GiB, TiB";
 
-fn split<'a>(text: &'a str, units: &'static str) -> Result<(f64, &'a str), UnitError> {
+fn split_unit<'a>(text: &'a str, units: &'static str) -> Result<(f64, &'a str), UnitError> {
     let text = text.trim();
     let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let number = text[..at].parse::<f64>().ok().filter(|n| n.is_finite());
-    let number = number.ok_or_else(|| UnitError::NoNumber(text.to_owned(), units))?;
+    let number = number.ok_or_else(|| UnitError::Invalid(text.to_owned(), units))?;
     match text[at..].trim_start() {
-        "" => Err(UnitError::NoUnit(text.to_owned(), units)),
+        "" => Err(UnitError::MissingUnit(text.to_owned(), units)),
         unit => Ok((number, unit)),
     }
 }
@@ -68,14 +69,14 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        let (number, unit) = split(text, TIMES)?;
+        let (number, unit) = split_unit(text, TIME_UNITS)?;
         let factor = match unit {
             "us" => 0.001,
             "ms" => 1.0,
             "s" => 1_000.0,
             "min" => 60_000.0,
             "h" => 3_600_000.0,
-            _ => return Err(UnitError::NoNumber(text.to_owned(), TIMES)),
+            _ => return Err(UnitError::Invalid(text.to_owned(), TIME_UNITS)),
         };
         Ok(Span(number * factor))
     }
@@ -85,18 +86,18 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        let (number, unit) = split(text, SIZES)?;
+        let (number, unit) = split_unit(text, SIZE_UNITS)?;
         let shift = match unit {
             "B" => 0,
             "KiB" => 10,
             "MiB" => 20,
             "GiB" => 30,
             "TiB" => 40,
-            _ => return Err(UnitError::NoNumber(text.to_owned(), SIZES)),
+            _ => return Err(UnitError::Invalid(text.to_owned(), SIZE_UNITS)),
         };
         let bytes = number * (1u64 << shift) as f64;
         if bytes.fract() != 0.0 || bytes > (1u64 << 53) as f64 {
-            return Err(UnitError::NoNumber(text.to_owned(), SIZES));
+            return Err(UnitError::Invalid(text.to_owned(), SIZE_UNITS));
         }
         Ok(Size(bytes as u64))
     }
@@ -114,7 +115,7 @@
     }
 }
 
-/// The largest unit that leaves a whole number, or thousandths of the smallest.
+/// Uses the largest unit that gives a whole number; if none does, milliseconds.
 impl std::fmt::Display for Span {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let units = [("h", 3_600_000.0), ("min", 60_000.0), ("s", 1_000.0), ("ms", 1.0), ("us", 0.001)];
@@ -126,7 +127,7 @@
     }
 }
 
-/// The largest unit that leaves a whole number.
+/// Uses the largest unit that gives a whole number.
 impl std::fmt::Display for Size {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let units = [("TiB", 40), ("GiB", 30), ("MiB", 20), ("KiB", 10)];
@@ -155,7 +156,7 @@
     use super::*;
 
     #[test]
-    fn figures_need_their_units() {
+    fn durations_and_sizes_need_a_unit() {
         assert_eq!("1.2s".parse::<Span>().unwrap().ms(), 1200.0);
         assert_eq!("64 KiB".parse::<Size>().unwrap().bytes(), 65_536);
         for text in ["0ms", "1200ms", "250ms", "2s", "5min", "3h", "400us", "0.25us"] {
