--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -1,7 +1,8 @@
-//! The operator's file: read, checked as a whole, and turned into a plan that is valid for good.
+//! The operator's settings file: read, checked as a whole, and turned into validated settings.
 //!
-//! [`HostSettings::load_with`] (and [`HostSettings::load`], [`HostSettings::from_toml`], where less goes over it) is the only way from
-//! text to a plan, for the host and for whatever checks files.
+//! [`HostSettings::load_with`] (with the shorter forms [`HostSettings::load`] and [`HostSettings::from_toml`]) is the
+//! only way from text to a [`HostSettings`], so that the host and the tools that check settings files accept the
+//! same files.
 
 mod fleet;
 mod matching;
@@ -13,7 +14,7 @@
 pub use self::matching::Matching;
 pub use self::migrate::{migrate, MigrateError};
 pub use self::provenance::{Explanation, Provenance, UnknownKey};
-use self::tables::{ClassTable, EffectWord, File, GroupWord, PlanTable};
+use self::tables::{ClassTable, EffectName, GroupName, PlanTable, SettingsFile};
 use crate::units::Span;
 use crate::volumes::{Volume, VolumeId};
 use pearfork_fleet::FleetSettings;
@@ -28,60 +29,60 @@
 pub use self::tables::EmbeddedNodes;
 pub use pearfork_layers::{Origin, Overrides};
 
-/// The form of settings files that this version reads.
+/// The format of settings files that this version reads.
 pub const FORMAT: u32 = 1;
 
-/// Keys of which a later layer's hides the earlier layer's other.
+/// Alternative keys of a table: one that a later layer sets removes the other that an earlier layer set.
 const EXCLUSIVE: &[[&str; 3]] = &[["match", "rules", "file"]];
 
-/// Faults of a settings file.
+/// An error in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostSettingsError {
-    /// Not TOML, an unknown key, or a value of the wrong kind; the text names the line.
+    /// The file is not TOML, or has an unknown key or a value of the wrong type; the text names the line.
     #[error("{0}")]
     Syntax(String),
-    /// Matching rules that are refused, each shown in its file.
+    /// Errors in the matching rules, rendered with their place in the file.
     #[error("{0}")]
     Rules(String),
-    /// A file that could not be read.
+    /// A file that cannot be read.
     #[error("{file}: {why}")]
     Unreadable {
-        /// Which.
+        /// The file.
         file: String,
-        /// What the machine says.
+        /// The error of the operating system.
         why: String,
     },
-    /// Layers that can't be put together.
+    /// Layers that cannot be merged.
     #[error(transparent)]
     Layer(#[from] LayerFault),
-    /// Something that one of the seven rules stands against.
+    /// A value that one of the seven rules forbids.
     #[error("{place}, {entry}, {}: {refusal}", refusal.key)]
     Rule {
-        /// Table.
+        /// The table.
         entry: String,
-        /// Where it was given: a line of the file, or which layer.
+        /// Where the value was set: a line of the file, or the layer.
         place: String,
-        /// What is asked, and what would be accepted.
+        /// The value that was found, and the values that are accepted.
         refusal: pearfork_terms::Refusal,
     },
-    /// Values that do not go together: the entry, and what is wrong.
+    /// A value that is out of range, or does not agree with another one.
     #[error("{entry}: {what}")]
     Value {
         /// Table and key.
         entry: String,
-        /// What is wrong and what would be accepted.
+        /// The error, and what would be accepted.
         what: String,
     },
 }
 
-/// All faults of a file.
+/// All errors that were found in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostSettingsErrors(pub Vec<HostSettingsError>);
 
 impl std::fmt::Display for HostSettingsErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for (i, fault) in self.0.iter().enumerate() {
-            write!(f, "{}{fault}", if i > 0 { "\n" } else { "" })?;
+        for (i, error) in self.0.iter().enumerate() {
+            write!(f, "{}{error}", if i > 0 { "\n" } else { "" })?;
         }
         Ok(())
     }
@@ -89,104 +90,109 @@
 
 impl std::error::Error for HostSettingsErrors {}
 
-/// Everything a host runs by; valid as a whole.
+/// The validated settings of a host.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
-    /// Its number among the hosts.
+    /// The host's number, below the number of hosts.
     pub number: u16,
-    /// Where iSCSI clients come.
+    /// The address for iSCSI clients.
     pub listen: SocketAddr,
-    /// Where health, metrics and status are.
+    /// The address for health, metrics and status.
     pub http: Option<SocketAddr>,
-    /// Seed of the module's random numbers; from the clock where absent.
+    /// Seed of the scheduler's random numbers; taken from the clock if absent.
     pub seed: Option<u64>,
-    /// Where the node list is had.
+    /// The address of the directory, which has the node list.
     pub directory: SocketAddr,
-    /// How long one call for changes of it may wait there.
+    /// How long the directory may wait for a change of the node list before it responds.
     pub directory_wait: Span,
-    /// How long a connection to a node with its login may take.
+    /// Time-out for connecting to a node, login included.
     pub connect_timeout: Span,
-    /// The target name that nodes answer to.
+    /// The iSCSI target name of the nodes.
     pub node_target: String,
-    /// Whether the extension is offered to nodes.
+    /// Whether the host offers the protocol extension to nodes and requires it from them.
     pub extension: bool,
-    /// Most client connections.
+    /// Maximum number of client connections.
     pub sessions: usize,
-    /// Commands of one session in work at once.
+    /// Maximum number of open commands of one session.
     pub commands: u32,
-    /// Most bytes of one command.
+    /// Maximum number of bytes of one command.
     pub max_transfer: usize,
-    /// How long an orderly stop waits for what was accepted.
+    /// How long a shutdown waits for open commands.
     pub drain: Span,
-    /// What the module is told.
+    /// Settings of the scheduler.
     pub scheduler: pearfork::Settings,
-    /// Names of the classes, by position.
+    /// Names of the classes, then of the routes, by position.
     pub class_names: Vec<String>,
-    /// Names of the plans, by position.
+    /// Names of the service plans, by position.
     pub plan_names: Vec<String>,
     /// The volumes, by position.
     pub volumes: Vec<Volume>,
-    /// Stand-in nodes to be brought along.
+    /// Fake nodes that the gateway starts along with the host.
     pub embedded: Option<EmbeddedNodes>,
-    /// Its place among the hosts that divide budgets; none where each has an even part by the figures alone.
+    /// The host's place in a fleet that lends budgets; if absent, each host has an even share of every limit.
     pub fleet: Option<FleetSettings>,
-    /// Which class, plan and key a request gets.
+    /// The rules that give each request its class, plan and key.
     pub matching: Arc<Matching>,
-    /// What the operator is to be told, though the file is taken.
+    /// Warnings about settings that are accepted.
     pub warnings: Vec<String>,
-    /// Where each value came from.
+    /// Where each value was set.
     pub provenance: Arc<Provenance>,
-    unit: u64,
+    /// Number of bytes in a unit of cost.
+    unit_bytes: u64,
 }
 
 impl HostSettings {
-    /// Reads and checks a file that refers to no other.
+    /// Parses and checks a text that refers to no other file.
     ///
     /// # Errors
-    /// All faults that were found; those of form hide those of meaning.
+    /// All errors that were found. Values are checked only once all keys and types are valid.
     pub fn from_toml(text: &str) -> Result<HostSettings, HostSettingsErrors> {
-        let alone = |_: &str| Err("this text refers to a file, and comes without a folder".to_owned());
-        Self::from_source("settings", text, &alone, &Overrides::default())
+        let no_files =
+            |_: &str| Err("the settings refer to a file but were given as text without a folder".to_owned());
+        Self::from_source("settings", text, &no_files, &Overrides::default())
     }
 
-    /// Reads and checks a file, and what it refers to in its folder.
+    /// Reads and checks a file, and the files that it refers to, relative to its folder.
     ///
     /// # Errors
-    /// As [`HostSettings::from_toml`], and files that can't be read.
+    /// As for [`HostSettings::from_toml`], and files that cannot be read.
     pub fn load(path: &Path) -> Result<HostSettings, HostSettingsErrors> {
         Self::load_with(path, &Overrides::default())
     }
 
-    /// The same with variables and flags over it. Each file is read once: what was checked is what is used.
+    /// As [`HostSettings::load`], with environment variables and command-line flags that override values of the
+    /// file. Each file is read once, so that the text that was checked is the text that is used.
     ///
     /// # Errors
-    /// As [`HostSettings::load`], and variables or flags that can't be taken.
+    /// As for [`HostSettings::load`], and variables or flags that are not valid.
     pub fn load_with(path: &Path, over: &Overrides) -> Result<HostSettings, HostSettingsErrors> {
         let name = path.display().to_string();
         let read = |p: &Path| std::fs::read_to_string(p).map_err(|e| e.to_string());
         let unreadable =
             |why| HostSettingsErrors(vec![HostSettingsError::Unreadable { file: name.clone(), why }]);
         let text = read(path).map_err(unreadable)?;
-        let beside = |file: &str| read(&path.parent().unwrap_or(Path::new("")).join(file));
-        Self::from_source(&name, &text, &beside, over)
+        let read_relative = |file: &str| read(&path.parent().unwrap_or(Path::new("")).join(file));
+        Self::from_source(&name, &text, &read_relative, over)
     }
 
-    /// The one way from text to a plan. `read` gives the files that the text refers to, by their path from its folder.
+    /// Every other constructor calls this one. `read` returns the text of a file that the settings refer to,
+    /// by its path relative to their folder.
     fn from_source(
         name: &str,
         text: &str,
         read: &dyn Fn(&str) -> Result<String, String>,
         over: &Overrides,
     ) -> Result<HostSettings, HostSettingsErrors> {
-        let layers = Layers::gather(name, text, read, over, EXCLUSIVE).map_err(|faults| {
-            HostSettingsErrors(faults.into_iter().map(HostSettingsError::from).collect())
+        let layers = Layers::gather(name, text, read, over, EXCLUSIVE).map_err(|errors| {
+            HostSettingsErrors(errors.into_iter().map(HostSettingsError::from).collect())
         })?;
-        let file = shape(name, text, &layers)
-            .map_err(|words| HostSettingsErrors(vec![HostSettingsError::Syntax(words)]))?;
-        Checker { layers: &layers, read, faults: Vec::new(), warnings: Vec::new() }.plan(file)
+        let file = parse_tables(name, text, &layers)
+            .map_err(|message| HostSettingsErrors(vec![HostSettingsError::Syntax(message)]))?;
+        Checker { layers: &layers, read, errors: Vec::new(), warnings: Vec::new() }.check(file)
     }
 
-    /// What the matching rules see of a request: for a live one, for `explain`, and for the judge of a record alike.
+    /// The fields of a request that the matching rules test. Live requests, `explain` and the check of a
+    /// recorded run all use this function, so that they match alike.
     pub fn fields_of<'a>(
         &'a self,
         volume: &'a Volume,
@@ -220,11 +226,11 @@
         }
     }
 
-    /// The matching of another plan, to be used with the classes and plans of this one.
+    /// The matching rules of other settings, for use with the classes and plans of these.
     ///
     /// # Errors
-    /// Classes or plans that differ: those need a new start, since requests in flight and the module know them by
-    /// position.
+    /// The classes or plans differ. The host must be restarted to change them: requests in flight and the
+    /// scheduler refer to them by position.
     pub fn compatible_matching(&self, new: &HostSettings) -> Result<Arc<Matching>, HostSettingsErrors> {
         let same = new.class_names == self.class_names
             && new.plan_names == self.plan_names
@@ -233,33 +239,34 @@
         if same {
             return Ok(new.matching.clone());
         }
-        let what = "classes or plans differ from those that the host started with; start it anew".to_owned();
+        let what =
+            "the classes or plans differ from those that the host started with; restart the host".to_owned();
         Err(HostSettingsErrors(vec![HostSettingsError::Value { entry: "match.rules".to_owned(), what }]))
     }
 
-    /// Size of a request in units: at least one, at most what the module was told.
+    /// Cost of a request in units: at least 1, at most `max_units`.
     pub fn units_of(&self, bytes: u64) -> f64 {
-        (bytes.div_ceil(self.unit) as f64).clamp(1.0, self.scheduler.max_units.max(1.0))
+        (bytes.div_ceil(self.unit_bytes) as f64).clamp(1.0, self.scheduler.max_units.max(1.0))
     }
 }
 
-/// The layers as the tables that they must be; otherwise what is wrong, in words.
-fn shape(name: &str, text: &str, layers: &Layers) -> Result<File, String> {
+/// Deserializes the merged layers; as an error, a message that names the place.
+fn parse_tables(name: &str, text: &str, layers: &Layers) -> Result<SettingsFile, String> {
     if layers.merged.contains_key("classify") {
         let place = layers.place(&Key::of(&["classify"])).map_or(name.to_owned(), Origin::to_string);
         return Err(format!(
-            "{place}: `classify` is of the form before {FORMAT}; `pearfork-check migrate FILE` writes the file anew"
+            "{place}: `classify` is of the format before {FORMAT}; `pearfork-check migrate FILE` converts the file"
         ));
     }
     if layers.is_plain() {
-        // One file says it all: the words of its parser show the line itself.
+        // The parser's message for a single file shows the line itself.
         return toml::from_str(text).map_err(|e| format!("{name}: {e}"));
     }
     let merged = toml::Value::Table(layers.merged.clone());
     serde_path_to_error::deserialize(merged).map_err(|e| {
         let why = e.inner().message().trim().to_owned();
         let mut key = key_of(e.path(), &layers.merged);
-        // The unknown field itself is known by its name alone.
+        // The path of an unknown field ends at its table; the field's name is only in the message.
         let field = why.strip_prefix("unknown field `").and_then(|rest| rest.split('`').next());
         if let Some(field) = field.filter(|f| key.parts().last().is_none_or(|last| last != f)) {
             key = key.child(field);
@@ -269,7 +276,7 @@
     })
 }
 
-/// A path into the merged table as a key: entries of arrays go by their names.
+/// Converts a path into the merged table to a key; entries of arrays are identified by their names.
 fn key_of(path: &serde_path_to_error::Path, merged: &toml::Table) -> Key {
     use serde_path_to_error::Segment;
     let mut key = Key::default();
@@ -294,60 +301,61 @@
     key
 }
 
+/// Checks a settings file and collects its errors and warnings.
 struct Checker<'a> {
     layers: &'a Layers,
     read: &'a dyn Fn(&str) -> Result<String, String>,
-    faults: Vec<HostSettingsError>,
+    errors: Vec<HostSettingsError>,
     warnings: Vec<String>,
 }
 
 impl Checker<'_> {
-    fn fault(&mut self, entry: impl Into<String>, what: impl Into<String>) {
-        self.faults.push(HostSettingsError::Value { entry: entry.into(), what: what.into() });
+    fn error(&mut self, entry: impl Into<String>, what: impl Into<String>) {
+        self.errors.push(HostSettingsError::Value { entry: entry.into(), what: what.into() });
     }
 
-    fn names<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
+    fn check_names<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen = HashSet::new();
         for name in names {
             if name.is_empty() {
-                self.fault(kind, "a name is empty");
+                self.error(kind, "a name is empty");
             } else if !seen.insert(name) {
-                self.fault(kind, format!("the name `{name}` is given twice"));
+                self.error(kind, format!("the name `{name}` is given twice"));
             }
         }
     }
 
-    fn plan(mut self, file: File) -> Result<HostSettings, HostSettingsErrors> {
+    fn check(mut self, file: SettingsFile) -> Result<HostSettings, HostSettingsErrors> {
         if file.format.is_some_and(|f| f != FORMAT) {
             let what = format!(
-                "this version reads format {FORMAT}; `pearfork-check migrate FILE` writes an older file anew"
+                "this version reads format {FORMAT}; `pearfork-check migrate FILE` converts older files"
             );
-            self.fault("format", what);
+            self.error("format", what);
         }
         let routes = file.route.iter().map(|r| r.name.as_str());
-        self.names("class or route", file.class.iter().map(|c| c.name.as_str()).chain(routes));
-        self.names("plan", file.plan.iter().map(|p| p.name.as_str()));
-        self.names("volume", file.volume.iter().map(|v| v.name.as_str()));
+        self.check_names("class or route", file.class.iter().map(|c| c.name.as_str()).chain(routes));
+        self.check_names("plan", file.plan.iter().map(|p| p.name.as_str()));
+        self.check_names("volume", file.volume.iter().map(|v| v.name.as_str()));
         let classes: Vec<pearfork::Class> = file.class.iter().map(|c| self.class(c)).collect();
         let routes = self.routes(&file, &classes);
-        let both = file.class.iter().map(|c| &c.name).chain(file.route.iter().map(|r| &r.name));
-        let class_names: Vec<String> = both.cloned().collect();
+        let all_names = file.class.iter().map(|c| &c.name).chain(file.route.iter().map(|r| &r.name));
+        let class_names: Vec<String> = all_names.cloned().collect();
         let classes = [classes, routes].concat();
         let volumes = self.volumes(&file);
         let matching = self.matching(&file, &class_names, &classes, &volumes);
         let r = &file.rules;
         if file.host.hosts == 0 || u32::from(file.host.number) >= file.host.hosts {
             let what = format!("number {} is not below hosts = {}", file.host.number, file.host.hosts);
-            self.fault("host", what);
+            self.error("host", what);
         }
         if r.max_attempts == 0 {
-            self.fault("rules.max_attempts", "is 0; a request needs one attempt at least");
+            self.error("rules.max_attempts", "is 0; it must be at least 1");
         }
         if r.unit.bytes() == 0 {
-            self.fault("rules.unit", "is 0; a unit needs a size, such as \"16KiB\"");
+            self.error("rules.unit", "is 0; it must be a size above 0, such as \"16KiB\"");
         }
         if file.transport.commands == 0 || file.transport.sessions == 0 {
-            self.fault("transport", "commands and sessions must be 1 at least");
+            self.error("transport", "commands and sessions must be at least 1");
         }
         let plan = |p: &PlanTable| pearfork::Plan {
             nominal: p.nominal,
@@ -386,18 +394,23 @@
             spare_worth: r.spare_worth,
             meter_ms: r.meter.ms(),
         };
-        // Danger: a node that is told no key drops no repeat, and a keyed request would take effect twice.
-        let keyed = file.class.iter().find(|c| matches!(c.effect, EffectWord::Keyed));
+        // Without the extension nodes receive no repeat keys and cannot drop repeats, so that a retry of a
+        // keyed request would take effect twice.
+        let keyed = file.class.iter().find(|c| matches!(c.effect, EffectName::Keyed));
         if let (Some(c), false) = (keyed, file.transport.extension) {
-            let what = format!("class `{}` is keyed, and nodes learn of keys by the extension alone", c.name);
-            self.fault("transport.extension", what);
+            let what = format!(
+                "class `{}` is keyed, and nodes learn repeat keys only through the extension; it must be true",
+                c.name
+            );
+            self.error("transport.extension", what);
         }
         if let Err(e) = scheduler.check() {
-            self.fault("module", e.to_string());
+            self.error("settings", e.to_string());
         }
-        // Hosts that divide a limit have no even parts of it, and a check of their own.
-        let even = |r: &pearfork_terms::Refusal| file.fleet.is_none() || r.key != "burst";
-        for refusal in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(even) {
+        // This check of `burst` assumes even shares of the limit; a fleet lends uneven ones and has its own
+        // check.
+        let applies = |r: &pearfork_terms::Refusal| file.fleet.is_none() || r.key != "burst";
+        for refusal in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(applies) {
             let entry = match refusal.entry {
                 pearfork_terms::Entry::Class(i) if i < file.class.len() => {
                     format!("class `{}`", class_names[i])
@@ -406,12 +419,12 @@
                 pearfork_terms::Entry::Plan(i) => format!("plan `{}`", file.plan[i].name),
                 pearfork_terms::Entry::Rules => "rules".to_owned(),
             };
-            let place = self.place_of(&file, refusal.entry, refusal.key);
-            self.faults.push(HostSettingsError::Rule { entry, place, refusal });
+            let place = self.location_of(&file, refusal.entry, refusal.key);
+            self.errors.push(HostSettingsError::Rule { entry, place, refusal });
         }
         let fleet = self.fleet(&file);
-        let (Some(matching), true) = (matching, self.faults.is_empty()) else {
-            return Err(HostSettingsErrors(self.faults));
+        let (Some(matching), true) = (matching, self.errors.is_empty()) else {
+            return Err(HostSettingsErrors(self.errors));
         };
         let provenance = Provenance::new(self.layers, &file, matching.text());
         Ok(HostSettings {
@@ -434,7 +447,7 @@
             volumes,
             embedded: file.embedded,
             fleet,
-            unit: r.unit.bytes(),
+            unit_bytes: r.unit.bytes(),
             matching: Arc::new(matching),
             warnings: self.warnings,
             provenance: Arc::new(provenance),
@@ -443,12 +456,15 @@
 
     fn class(&mut self, c: &ClassTable) -> pearfork::Class {
         let entry = format!("class `{}`", c.name);
-        let keyed = matches!(c.effect, EffectWord::Keyed);
+        let keyed = matches!(c.effect, EffectName::Keyed);
         if keyed && (c.group.is_none() || c.window.is_none()) {
-            self.fault(&entry, "is keyed: say with group and window who drops repeats and for how long");
+            self.error(
+                &entry,
+                "is keyed: group and window must say which nodes drop repeats, and for how long",
+            );
         }
         if !keyed && (c.group.is_some() || c.window.is_some()) {
-            self.fault(&entry, "has a group or window, which only a keyed class has");
+            self.error(&entry, "is not keyed; only a keyed class may have group and window");
         }
         pearfork::Class {
             aim_ms: c.aim.ms(),
@@ -456,70 +472,70 @@
             worth: c.worth,
             late_worth: c.late_worth,
             effect: match c.effect {
-                EffectWord::Safe => pearfork::Effect::Safe,
-                EffectWord::Keyed => pearfork::Effect::Keyed,
-                EffectWord::Unsafe => pearfork::Effect::Unsafe,
+                EffectName::Safe => pearfork::Effect::Safe,
+                EffectName::Keyed => pearfork::Effect::Keyed,
+                EffectName::Unsafe => pearfork::Effect::Unsafe,
             },
             group: match c.group {
-                None | Some(GroupWord::All) => pearfork::Group::All,
-                Some(GroupWord::Zone) => pearfork::Group::Zone,
-                Some(GroupWord::Shard) => pearfork::Group::Shard,
+                None | Some(GroupName::All) => pearfork::Group::All,
+                Some(GroupName::Zone) => pearfork::Group::Zone,
+                Some(GroupName::Shard) => pearfork::Group::Shard,
             },
             window_ms: c.window.unwrap_or_default().ms(),
             ordered: c.ordered,
             attempt_policy: pearfork::AttemptPolicy {
-                attempt_timeout_ms: self.span_above_0(&entry, "attempt", c.attempt),
-                attempts: self.number_above_0(&entry, c.attempts),
+                attempt_timeout_ms: self.optional_ms(&entry, "attempt", c.attempt),
+                attempts: self.optional_attempts(&entry, c.attempts),
                 retry_delay_ms: c.retry_pause.ms(),
                 retry_jitter_ms: c.retry_spread.ms(),
-                hedge_after_ms: self.span_above_0(&entry, "second_copy_after", c.second_copy_after),
+                hedge_after_ms: self.optional_ms(&entry, "second_copy_after", c.second_copy_after),
             },
         }
     }
 
-    fn volumes(&mut self, file: &File) -> Vec<Volume> {
-        let mut places = HashSet::new();
+    fn volumes(&mut self, file: &SettingsFile) -> Vec<Volume> {
+        let mut units = HashSet::new();
         let mut volumes = Vec::new();
         for (i, v) in file.volume.iter().enumerate() {
             let entry = format!("volume `{}`", v.name);
             let plan = file.plan.iter().position(|p| p.name == v.plan);
             if plan.is_none() {
-                self.fault(&entry, format!("there is no plan `{}`", v.plan));
+                self.error(&entry, format!("there is no plan `{}`", v.plan));
             }
             let (block, size, extent) = (v.block.bytes(), v.size.bytes(), v.extent.bytes());
             if !matches!(block, 512 | 4096) {
-                self.fault(&entry, "block must be \"512B\" or \"4KiB\"");
+                self.error(&entry, "block must be \"512B\" or \"4KiB\"");
                 continue;
             }
             if size == 0 || size % block != 0 {
-                self.fault(&entry, "size must be a multiple of block, and not 0");
+                self.error(&entry, "size must be a multiple of block, and not 0");
             }
             if extent == 0 || extent % block != 0 {
-                self.fault(&entry, "extent must be a multiple of block, and not 0");
+                self.error(&entry, "extent must be a multiple of block, and not 0");
                 continue;
             }
             if extent * 64 < u64::from(MAX_TRANSFER_BLOCKS) * block {
-                self.fault(&entry, "extent is so small that one command would have more than 64 parts");
+                self.error(&entry, "extent is too small: one command could have more than 64 parts");
             }
             if v.shards.is_empty() {
-                self.fault(&entry, "names no shard");
+                self.error(&entry, "shards is empty; the volume names no shard");
                 continue;
             }
             if v.lun >= 16_384 {
-                self.fault(&entry, "lun must be below 16384");
+                self.error(&entry, "lun must be below 16384");
             }
             let hosts = v.hosts.unwrap_or(file.host.hosts);
             if hosts == 0 || hosts > file.host.hosts {
-                self.fault(&entry, "hosts must be 1 to the number of hosts");
+                self.error(&entry, "hosts must be 1 to host.hosts");
             }
             let target = v.target.to_ascii_lowercase();
             if !(target.starts_with("iqn.") || target.starts_with("eui.") || target.starts_with("naa."))
                 || target.len() > 223
             {
-                self.fault(&entry, "target must be an iSCSI name (iqn., eui., naa.) of 223 bytes at most");
+                self.error(&entry, "target must be an iSCSI name (iqn., eui., naa.) of 223 bytes at most");
             }
-            if !places.insert((target.clone(), v.lun)) {
-                self.fault(&entry, format!("another volume is unit {} of {target}", v.lun));
+            if !units.insert((target.clone(), v.lun)) {
+                self.error(&entry, format!("another volume has LUN {} at target {target}", v.lun));
             }
             volumes.push(Volume {
                 id: VolumeId(i as u32),
--- a/crates/host/src/settings/matching.rs
+++ b/crates/host/src/settings/matching.rs
@@ -1,6 +1,6 @@
-//! The rules that match requests, held against the classes, plans and volumes of the same file.
+//! The matching rules, checked against the classes, plans and volumes of the same settings.
 
-use super::tables::File;
+use super::tables::SettingsFile;
 use super::{Checker, HostSettingsError};
 use crate::volumes::Volume;
 use pearfork_layers::Key;
@@ -8,7 +8,8 @@
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
 
-/// The rules that match requests, with the positions of what they name.
+/// The rules that give each request its class, plan and key, with the positions of the classes and plans that
+/// they name.
 #[derive(Clone, Debug)]
 pub struct Matching {
     rules: Rules,
@@ -18,39 +19,39 @@
     plan_positions: HashMap<String, u16>,
 }
 
-/// The text that the rules were written in, as faults are shown in it.
+/// The text that holds the rules, for rendering errors with their place in it.
 #[derive(Clone, Debug)]
 struct RulesSource {
     name: String,
     text: String,
-    /// Where in the text the rules begin.
+    /// Byte offset of the rules in the text.
     offset: usize,
 }
 
 impl RulesSource {
-    fn show(&self, faults: Faults, gravity: Gravity) -> String {
-        faults.within(self.offset).render(&self.name, self.text.as_bytes(), gravity)
+    fn render(&self, errors: Faults, gravity: Gravity) -> String {
+        errors.within(self.offset).render(&self.name, self.text.as_bytes(), gravity)
     }
 }
 
 impl Matching {
-    /// The class of a request. The rules were checked to give one to every request.
+    /// The class of a request. Compiling the rules has verified that they give one to every request.
     pub fn class_of(&self, fields: &Fields<'_>) -> u16 {
         let number = self.rules.class_number(fields).unwrap_or(0);
         self.class_positions.get(number).copied().unwrap_or(0)
     }
 
-    /// The plan of a request where the rules give one.
+    /// The plan of a request, if the rules give one.
     pub fn plan_of(&self, fields: &Fields<'_>) -> Option<u16> {
         self.plan_positions.get(self.rules.plan(fields)?).copied()
     }
 
-    /// The key of a request where the rules give one; otherwise its extent is.
+    /// The key of a request, if the rules give one; otherwise its extent is the key.
     pub fn key_of(&self, fields: &Fields<'_>) -> Option<u64> {
         self.rules.key(fields)
     }
 
-    /// The rules themselves.
+    /// The compiled rules.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
@@ -60,7 +61,7 @@
         &self.text
     }
 
-    /// A piece of the rules as it was written, and the line that it stands on.
+    /// The line number and the source text of a place in the rules.
     pub fn source_at(&self, place: Place) -> (usize, &str) {
         let (from, to) = (place.from + self.source.offset, place.to + self.source.offset);
         let text = &self.source.text;
@@ -69,58 +70,60 @@
 }
 
 impl Checker<'_> {
-    fn source(&mut self, file: &File) -> Option<(RulesSource, String)> {
+    fn source(&mut self, file: &SettingsFile) -> Option<(RulesSource, String)> {
         match (&file.r#match.rules, &file.r#match.file) {
             (Some(text), None) => {
                 let given = self.layers.given(&Key::of(&["match", "rules"])).last();
-                let alone = |name: String| RulesSource { name, text: text.clone(), offset: 0 };
+                let rules_alone = |name: String| RulesSource { name, text: text.clone(), offset: 0 };
                 let source = match given.and_then(|g| g.span.clone()) {
                     Some((at, span)) => {
                         let file = &self.layers.sources[at];
-                        // A text with escapes is not in the file as it reads; its lines count from its own start then.
+                        // A string with escapes does not occur literally in the file; its lines are counted
+                        // from its own start.
                         match file.text.get(span.clone()).unwrap_or("").find(text.as_str()) {
                             Some(from) => RulesSource {
                                 name: file.name.clone(),
                                 text: file.text.clone(),
                                 offset: span.start + from,
                             },
-                            None => alone(format!("{}, match.rules", file.name)),
+                            None => rules_alone(format!("{}, match.rules", file.name)),
                         }
                     }
-                    None => alone(given.map_or("match.rules".to_owned(), |g| g.origin.to_string())),
+                    None => rules_alone(given.map_or("match.rules".to_owned(), |g| g.origin.to_string())),
                 };
                 Some((source, text.clone()))
             }
-            (None, Some(name)) => match (self.read)(&self.beside(name)) {
+            (None, Some(name)) => match (self.read)(&self.resolve(name)) {
                 Ok(text) => Some((RulesSource { name: name.clone(), text: text.clone(), offset: 0 }, text)),
                 Err(why) => {
-                    self.faults
+                    self.errors
                         .push(HostSettingsError::Unreadable { file: format!("match.file {name}"), why });
                     None
                 }
             },
             _ => {
-                self.fault("match", "give either `rules` or `file`");
+                self.error("match", "give either `rules` or `file`");
                 None
             }
         }
     }
 
-    /// A file that is named by an included one stands beside that one.
-    fn beside(&self, name: &str) -> String {
+    /// The path of a rules file: relative to the file that names it.
+    fn resolve(&self, name: &str) -> String {
         let given = self.layers.given(&Key::of(&["match", "file"])).last();
-        // The last source is the settings file itself, from whose folder paths are counted; so they are for what goes over it.
+        // The last source is the settings file itself. Paths in it, and in variables and flags, are relative
+        // to its folder.
         let included = |at: &usize| at + 1 < self.layers.sources.len();
-        let Some(own) = given.and_then(|g| g.span.as_ref()).map(|(at, _)| *at).filter(included) else {
+        let Some(source) = given.and_then(|g| g.span.as_ref()).map(|(at, _)| *at).filter(included) else {
             return name.to_owned();
         };
-        let folder = Path::new(&self.layers.sources[own].name).parent().unwrap_or(Path::new(""));
+        let folder = Path::new(&self.layers.sources[source].name).parent().unwrap_or(Path::new(""));
         folder.join(name).to_string_lossy().into_owned()
     }
 
     pub(super) fn matching(
         &mut self,
-        file: &File,
+        file: &SettingsFile,
         names: &[String],
         classes: &[pearfork::Class],
         volumes: &[Volume],
@@ -128,8 +131,8 @@
         let (source, text) = self.source(file)?;
         let rules = match Rules::compile_within(text.as_bytes(), file.r#match.max_steps) {
             Ok(rules) => rules,
-            Err(faults) => {
-                self.faults.push(HostSettingsError::Rules(source.show(faults, Gravity::Fault)));
+            Err(errors) => {
+                self.errors.push(HostSettingsError::Rules(source.render(errors, Gravity::Fault)));
                 return None;
             }
         };
@@ -140,45 +143,53 @@
         let mut unknown = unknown_names("class", rules.class_rows(), &known_classes);
         unknown.extend(unknown_names("plan", rules.plan_rows(), &known_plans));
         if !unknown.is_empty() {
-            self.faults.push(HostSettingsError::Rules(source.show(Faults(unknown), Gravity::Fault)));
+            self.errors.push(HostSettingsError::Rules(source.render(Faults(unknown), Gravity::Fault)));
         }
-        // A route is there for its requests; who writes one that none can reach has meant another.
-        let never: HashSet<usize> = rules.warnings().0.iter().map(|w| w.place.from).collect();
+        // A route that no request can reach is a mistake in the rules.
+        let unreachable: HashSet<usize> = rules.warnings().0.iter().map(|w| w.place.from).collect();
         let reached: HashSet<&str> =
-            rules.class_rows().filter(|r| !never.contains(&r.1.from)).map(|r| r.0).collect();
+            rules.class_rows().filter(|r| !unreachable.contains(&r.1.from)).map(|r| r.0).collect();
         for r in file.route.iter().filter(|r| !reached.contains(r.name.as_str())) {
             let what = "no request can reach it: a row `class \"...\" if ...` of the matching rules must name it, and match";
-            self.fault(format!("route `{}`", r.name), what);
+            self.error(format!("route `{}`", r.name), what);
         }
-        // Danger: COMPARE AND WRITE run twice compares with what its first run wrote, and fails a success.
+        // COMPARE AND WRITE must not run twice: the second run would compare with what the first one wrote,
+        // and report a miscompare for a command that succeeded.
         for name in rules.classes_within_reach("compare-and-write") {
             let class = names.iter().position(|n| n == name).map(|i| &classes[i]);
             if class.is_some_and(|c| c.effect != pearfork::Effect::Unsafe) {
                 let what =
-                    "may take compare-and-write, which must not run twice: make its effect \"unsafe\", or \
+                    "may match compare-and-write, which must not run twice: make its effect \"unsafe\", or \
                             begin the rules with a row `if op == \"compare-and-write\"` for a class that is";
-                self.fault(format!("class `{name}`"), what);
+                self.error(format!("class `{name}`"), what);
             }
         }
         if !rules.warnings().0.is_empty() {
-            self.warnings.push(source.show(rules.warnings().clone(), Gravity::Warning));
+            self.warnings.push(source.render(rules.warnings().clone(), Gravity::Warning));
         }
-        self.ordered(&rules, names, classes, volumes);
+        self.check_order(&rules, names, classes, volumes);
         let class = |n: &&str| names.iter().position(|c| c == n).unwrap_or(0) as u16;
         let class_positions = rules.class_names().iter().map(class).collect();
         Some(Matching { rules, source, text, class_positions, plan_positions: plans })
     }
 
-    /// Danger: order holds within a key. Where one block may fall under two, a later write may overtake an earlier one.
-    fn ordered(&mut self, rules: &Rules, names: &[String], classes: &[pearfork::Class], volumes: &[Volume]) {
+    /// Warns about keys that can divide a block's requests. Order is kept among the requests of one key: if
+    /// requests for one block can have two keys, a later write may overtake an earlier one.
+    fn check_order(
+        &mut self,
+        rules: &Rules,
+        names: &[String],
+        classes: &[pearfork::Class],
+        volumes: &[Volume],
+    ) {
         let ordered: Vec<&str> =
             names.iter().zip(classes).filter(|(_, c)| c.ordered).map(|(n, _)| n.as_str()).collect();
         let used = rules.class_names();
         let Some(key) = rules.key_use().filter(|_| ordered.iter().any(|o| used.contains(o))) else { return };
         for v in volumes {
-            for trouble in key.troubles(v.extent_blocks) {
+            for problem in key.troubles(v.extent_blocks) {
                 self.warnings.push(format!(
-                    "warning: `key` orders class {}, and on volume `{}` {trouble}",
+                    "warning: `key` orders class {}, and on volume `{}` {problem}",
                     ordered.join(", "),
                     v.name
                 ));
@@ -187,22 +198,21 @@
     }
 }
 
-/// One fault for each name that rows give and the settings don't.
+/// One error for each name that the rules use and the settings do not define.
 fn unknown_names<'a>(
     kind: &str,
     rows: impl Iterator<Item = (&'a str, Place)>,
     known: &HashSet<&str>,
 ) -> Vec<Fault> {
-    let mut told = HashSet::new();
-    let fault = |(name, place): (&str, Place)| {
-        let fault = Fault::new(place, format!("there is no [[{kind}]] `{name}`"));
+    let mut reported = HashSet::new();
+    let error = |(name, place): (&str, Place)| {
+        let error = Fault::new(place, format!("there is no [[{kind}]] `{name}`"));
         match nearest(name, known.iter().copied()) {
-            Some(near) => fault.help(format!("did you mean \"{near}\"?")),
-            None => {
-                fault.help(format!("each {kind} that rules name needs a [[{kind}]] table in the settings"))
-            }
+            Some(near) => error.help(format!("did you mean \"{near}\"?")),
+            None => error
+                .help(format!("each {kind} that the rules name needs a [[{kind}]] table in the settings")),
         }
     };
-    let mut unknown = |name: &'a str| !known.contains(name) && told.insert(name);
-    rows.filter(|(name, _)| unknown(name)).map(fault).collect()
+    let mut is_unknown = |name: &'a str| !known.contains(name) && reported.insert(name);
+    rows.filter(|(name, _)| is_unknown(name)).map(error).collect()
 }
--- a/crates/host/src/settings/tables.rs
+++ b/crates/host/src/settings/tables.rs
@@ -1,4 +1,4 @@
-//! The file as it is written: tables and keys, before anything is checked against anything else.
+//! The tables and keys of a settings file as they are deserialized, before their values are checked.
 
 use crate::units::{Size, Span};
 use pearfork_ledger::Timing;
@@ -6,10 +6,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// A settings file.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct File {
-    /// Form of the file; [`super::FORMAT`] where it is not given.
+pub(super) struct SettingsFile {
+    /// Format of the file; [`super::FORMAT`] if absent.
     pub(super) format: Option<u32>,
     pub(super) host: HostTable,
     pub(super) directory: DirectoryTable,
@@ -26,34 +27,38 @@
     pub(super) fleet: Option<FleetTable>,
 }
 
-/// A place among the hosts that divide budgets.
+/// The host's place in a fleet that lends budgets.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetTable {
     pub(super) name: String,
-    /// Where a voter listens for the others.
+    /// The address that a voter listens at for the other hosts.
     pub(super) listen: Option<SocketAddr>,
-    /// Where a voter keeps its promises.
+    /// The folder in which a voter stores its votes and log.
     pub(super) folder: Option<PathBuf>,
     pub(super) voters: Vec<VoterTable>,
-    /// Fraction of each whole that the floors of all hosts make up together.
+    /// Fraction of each budget that the floors of all hosts add up to.
     #[serde(default = "default_floors")]
     pub(super) floors: f64,
     #[serde(default = "default_lease")]
     pub(super) lease: Span,
-    /// By how much one host's clock may run faster than another's.
+    /// By what fraction one host's clock may run faster than another's.
     #[serde(default = "default_drift")]
     pub(super) drift: f64,
+    /// Interval at which a host renews its lease.
     #[serde(default = "default_ask")]
     pub(super) ask: Span,
+    /// Heartbeat interval of the leader.
     #[serde(default = "default_beat")]
     pub(super) beat: Span,
+    /// Election time-out.
     #[serde(default = "default_election")]
     pub(super) election: Span,
     #[serde(default)]
-    pub(super) trouble: TroubleTable,
+    pub(super) trouble: FaultInjectionTable,
 }
 
+/// A voter of the fleet.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct VoterTable {
@@ -61,11 +66,13 @@
     pub(super) address: SocketAddr,
 }
 
-/// For trials alone.
+/// Faults that are injected into this host, for tests only.
 #[derive(Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub(super) struct TroubleTable {
+pub(super) struct FaultInjectionTable {
+    /// Rate of the host's clock; a clock of rate 2 runs twice as fast as real time.
     pub(super) clock: Option<f64>,
+    /// A file that names the disk fault to inject.
     pub(super) disk: Option<PathBuf>,
 }
 
@@ -93,20 +100,22 @@
     Span::from_ms(Timing::default().election_timeout_ms)
 }
 
-/// Stand-in nodes that a gateway brings along for trying it out; a host knows nothing of them.
+/// Fake nodes that the gateway starts in its own process, for trying it out; the host treats them like any
+/// other node.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EmbeddedNodes {
-    /// How many, each with a shard of its own from 0 on.
+    /// Number of nodes; each holds one shard, numbered from 0.
     pub nodes: u16,
-    /// Cores of each.
+    /// Number of cores of a node.
     pub cores: u16,
-    /// Requests that wait beyond one in work on each core.
+    /// Maximum number of requests that wait at a node besides one in service on each core.
     pub waiting: u16,
-    /// Work of one unit on one core.
+    /// Service time of one unit on one core.
     pub work: Span,
 }
 
+/// `[host]`: the host's number and addresses.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct HostTable {
@@ -118,6 +127,7 @@
     pub(super) seed: Option<u64>,
 }
 
+/// `[directory]`: where the node list is read.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DirectoryTable {
@@ -130,6 +140,7 @@
     Span::from_ms(2_000.0)
 }
 
+/// `[transport]`: connections to clients and nodes; [`super::HostSettings`] describes the values.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct TransportTable {
@@ -156,32 +167,36 @@
     }
 }
 
+/// `[rules]`: settings for all classes; [`pearfork::Settings`] describes the values.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RulesTable {
     #[serde(default = "default_round")]
     pub(super) round: Span,
     pub(super) max_attempts: u32,
+    /// Whether hedged attempts are allowed.
     #[serde(default)]
     pub(super) second_copies: bool,
-    #[serde(default = "yes")]
+    #[serde(default = "default_cancel")]
     pub(super) cancel: bool,
     pub(super) max_retry_after: Span,
-    pub(super) retry_budget: Option<BudgetTable>,
+    pub(super) retry_budget: Option<RetryBudgetTable>,
     pub(super) drain_grace: Span,
     pub(super) cold_from: f64,
     pub(super) warm_after: Span,
     pub(super) fall_multiple: f64,
     pub(super) fall: Span,
     pub(super) cold_units: f64,
+    /// For ordered classes: cooldown of a data item after an attempt that may still run.
     #[serde(default)]
     pub(super) key_rest: Span,
+    /// Number of bytes that cost one unit.
     pub(super) unit: Size,
     pub(super) mean_units: f64,
     pub(super) max_units: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub(super) share_worth: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub(super) spare_worth: f64,
     #[serde(default)]
     pub(super) meter: Span,
@@ -191,17 +206,18 @@
     Span::from_ms(2.0)
 }
 
-fn yes() -> bool {
+fn default_cancel() -> bool {
     true
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
+/// The retry budget; [`pearfork::RetryBudget`] describes the values.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct BudgetTable {
+pub(super) struct RetryBudgetTable {
     pub(super) free: f64,
     pub(super) ratio: f64,
     pub(super) span: Span,
@@ -209,7 +225,7 @@
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum EffectWord {
+pub(super) enum EffectName {
     Safe,
     Keyed,
     Unsafe,
@@ -217,12 +233,13 @@
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum GroupWord {
+pub(super) enum GroupName {
     All,
     Zone,
     Shard,
 }
 
+/// `[[class]]`: a class of requests; [`pearfork::Class`] describes the values.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassTable {
@@ -232,8 +249,8 @@
     pub(super) worth: f64,
     #[serde(default)]
     pub(super) late_worth: f64,
-    pub(super) effect: EffectWord,
-    pub(super) group: Option<GroupWord>,
+    pub(super) effect: EffectName,
+    pub(super) group: Option<GroupName>,
     pub(super) window: Option<Span>,
     #[serde(default)]
     pub(super) ordered: bool,
@@ -241,17 +258,17 @@
     pub(super) attempt: Option<Span>,
     /// Attempts of one request.
     pub(super) attempts: Option<u32>,
-    /// Least pause before a further attempt.
+    /// Minimum delay before a retry.
     #[serde(default)]
     pub(super) retry_pause: Span,
-    /// Most that is added to the pause, drawn at random.
+    /// Maximum random delay that is added to `retry_pause`.
     #[serde(default)]
     pub(super) retry_spread: Span,
-    /// When a second copy goes out beside an attempt without an answer.
+    /// After how long without a response a hedged attempt is sent.
     pub(super) second_copy_after: Option<Span>,
 }
 
-/// A class's figures for some of its requests: what is not given is the class's.
+/// `[[route]]`: other values for some requests of a class; an absent value is the class's.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RouteTable {
@@ -266,22 +283,24 @@
     pub(super) second_copy_after: Option<Span>,
 }
 
+/// `[match]`: the rules that give each request its class, plan and key.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct MatchTable {
     pub(super) rules: Option<String>,
-    /// A file beside this one, in place of `rules`.
+    /// A file with the rules, relative to this one; an alternative to `rules`.
     pub(super) file: Option<String>,
-    /// Steps that class, plan and key of one request may take.
+    /// Maximum number of steps for class, plan and key of one request.
     #[serde(default = "default_max_steps")]
     pub(super) max_steps: u64,
 }
 
-/// About 50 us of a slow core at the very worst.
+/// Takes at worst about 50 us on a slow core.
 fn default_max_steps() -> u64 {
     20_000
 }
 
+/// `[[plan]]`: a service plan; [`pearfork::Plan`] describes the values.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PlanTable {
@@ -289,9 +308,10 @@
     pub(super) nominal: f64,
     #[serde(default)]
     pub(super) reserve: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub(super) weight: f64,
-    #[serde(default = "one")]
+    /// Factor by which the worth of its requests is multiplied.
+    #[serde(default = "default_one")]
     pub(super) pays: f64,
     #[serde(default)]
     pub(super) limit: f64,
@@ -301,6 +321,7 @@
     pub(super) slack: f64,
 }
 
+/// `[[volume]]`: a volume; [`crate::volumes::Volume`] describes the values.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct VolumeTable {
@@ -316,7 +337,7 @@
     pub(super) shards: Vec<u16>,
     pub(super) plan: String,
     pub(super) hosts: Option<u32>,
-    #[serde(default = "anybody")]
+    #[serde(default = "any_initiator")]
     pub(super) initiators: Vec<String>,
 }
 
@@ -328,6 +349,6 @@
     Size::from_bytes(1 << 20)
 }
 
-fn anybody() -> Vec<String> {
+fn any_initiator() -> Vec<String> {
     vec!["*".to_owned()]
 }
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -233,5 +233,5 @@
     assert_eq!(again, [0], "the second may not go again: it came as unsafe");
     // Classes are not exchanged under a running host.
     let other = HostSettings::from_toml(&text.replace("aim = \"150ms\"", "aim = \"160ms\"")).unwrap();
-    assert!(plan.compatible_matching(&other).unwrap_err().to_string().contains("anew"));
+    assert!(plan.compatible_matching(&other).unwrap_err().to_string().contains("restart the host"));
 }
