--- a/crates/host/src/directory.rs
+++ b/crates/host/src/directory.rs
@@ -1,7 +1,9 @@
-//! The node list, had over HTTP from a directory: the whole list, or a call that waits for changes by revision.
+//! The node list, read over HTTP from the directory: the whole list, or a long poll for changes since a
+//! revision.
 //!
-//! `GET /nodes?host=H` gives the whole list, `GET /nodes?host=H&after=R&wait_ms=W` the changes since revision R,
-//! waiting up to W for one; the whole list again (`"full": true`) where the directory no longer has them.
+//! `GET /nodes?host=H` returns the whole list, `GET /nodes?host=H&after=R&wait_ms=W` the changes since revision R,
+//! waiting up to W milliseconds for one. If the directory no longer has these changes, it returns the whole
+//! list (`"full": true`).
 
 use crate::engine::Message;
 use crate::links::Links;
@@ -17,19 +19,19 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes the requests that it has and accepts no more.
     Draining,
-    /// Withdrawn.
+    /// Removed from service.
     Gone,
 }
 
-/// A line of the list.
+/// An entry of the node list.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ListedNode {
-    /// The node.
+    /// The node's number.
     pub node: u32,
     /// The shard that it holds.
     pub shard: u16,
@@ -37,37 +39,40 @@
     pub zone: u16,
     /// Its state.
     pub state: ListedState,
-    /// Its last start, milliseconds of the Unix epoch; 0: long ago.
+    /// When it last started, in milliseconds of the Unix epoch; 0 for long ago.
     pub started_ms: f64,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
 }
 
-/// An answer of the directory.
+/// A response of the directory.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct NodeList {
-    /// Revision that this brings a host to.
+    /// The revision of the list once this response is applied.
     pub revision: u64,
-    /// The whole list; otherwise the changed lines alone.
+    /// Whether `nodes` is the whole list; otherwise it holds the changed entries only.
     pub full: bool,
-    /// The lines.
+    /// The entries.
     pub nodes: Vec<ListedNode>,
 }
 
-/// Reads an answer of the directory.
+/// Parses a response of the directory.
 ///
 /// # Errors
-/// What is wrong with it, in words.
+/// Describes the first error in the response.
 pub fn parse_node_list(body: &[u8]) -> Result<NodeList, String> {
     let list: NodeList = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     match list.nodes.iter().find(|n| !n.started_ms.is_finite() || n.started_ms < 0.0) {
-        Some(n) => Err(format!("node {}: started_ms = {} makes no sense", n.node, n.started_ms)),
+        Some(n) => Err(format!(
+            "node {}: started_ms = {} must be a finite number, not below 0",
+            n.node, n.started_ms
+        )),
         None => Ok(list),
     }
 }
 
-/// Writes an answer of the directory.
+/// Serializes a response of the directory.
 pub fn render_node_list(list: &NodeList) -> String {
     serde_json::to_string(list).unwrap_or_default()
 }
@@ -83,14 +88,17 @@
     }
 }
 
-/// What the module asks of the directory.
+/// A command to the [`Watcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ask {
+pub(crate) enum WatchCommand {
+    /// Start or stop watching for changes.
     Watch(bool),
-    ReadList,
+    /// Read the whole list once.
+    FetchNodeList,
     Stop,
 }
 
+/// Reads the node list from the directory and passes it to the engine and the links.
 pub(crate) struct Watcher {
     pub(crate) host: u16,
     pub(crate) directory: SocketAddr,
@@ -99,25 +107,29 @@
     pub(crate) engine: Sender<Message>,
 }
 
-/// How much longer than its wait a call may take.
+/// How much longer a call may take than the time that the directory may wait for a change.
 const CALL_MARGIN: Duration = Duration::from_secs(2);
 
 impl Watcher {
-    /// Watches from the start; after a failure it asks again when the module says so.
-    pub(crate) fn run(self, asks: &Receiver<Ask>) {
+    /// Watches from the start. A failure ends the watch until the scheduler asks for the list again.
+    pub(crate) fn run(self, commands: &Receiver<WatchCommand>) {
         let (mut revision, mut watching) = (0, true);
         loop {
-            let ask = if watching { asks.try_recv().ok() } else { asks.recv().ok().or(Some(Ask::Stop)) };
-            match ask {
-                Some(Ask::Stop) => return,
-                Some(Ask::Watch(on)) => watching = on,
-                Some(Ask::ReadList) => revision = 0,
+            let command = if watching {
+                commands.try_recv().ok()
+            } else {
+                commands.recv().ok().or(Some(WatchCommand::Stop))
+            };
+            match command {
+                Some(WatchCommand::Stop) => return,
+                Some(WatchCommand::Watch(on)) => watching = on,
+                Some(WatchCommand::FetchNodeList) => revision = 0,
                 None => {}
             }
-            if !watching && ask != Some(Ask::ReadList) {
+            if !watching && command != Some(WatchCommand::FetchNodeList) {
                 continue;
             }
-            match self.call(revision) {
+            match self.fetch(revision) {
                 Ok(list) => {
                     revision = list.revision;
                     if !list.full && list.nodes.is_empty() {
@@ -125,18 +137,18 @@
                     }
                     self.links.set_addresses(list.nodes.iter().map(|n| (n.node, n.address)));
                     let kind = if list.full { ListKind::Full } else { ListKind::Changes };
-                    self.tell(kind, list.nodes.iter().map(NodeEntry::from).collect());
+                    self.report(kind, list.nodes.iter().map(NodeEntry::from).collect());
                 }
                 Err(why) => {
-                    tracing::warn!(why, "the node list cannot be had");
+                    tracing::warn!(why, "reading the node list from the directory failed");
                     watching = false;
-                    self.tell(ListKind::Failed, Vec::new());
+                    self.report(ListKind::Failed, Vec::new());
                 }
             }
         }
     }
 
-    fn call(&self, revision: u64) -> Result<NodeList, String> {
+    fn fetch(&self, revision: u64) -> Result<NodeList, String> {
         let mut path = format!("/nodes?host={}", self.host);
         if revision > 0 {
             path += &format!("&after={revision}&wait_ms={}", self.wait.as_millis());
@@ -144,12 +156,12 @@
         let (status, body) =
             http::get(self.directory, &path, self.wait + CALL_MARGIN).map_err(|e| e.to_string())?;
         if status != 200 {
-            return Err(format!("{}: status {status}", self.directory));
+            return Err(format!("{}: HTTP status {status}, expected 200", self.directory));
         }
         parse_node_list(&body).map_err(|e| format!("{}: {e}", self.directory))
     }
 
-    fn tell(&self, kind: ListKind, entries: Vec<NodeEntry>) {
-        let _ = self.engine.send(Message::Input(crate::dispatcher::Input::List(kind, entries)));
+    fn report(&self, kind: ListKind, entries: Vec<NodeEntry>) {
+        let _ = self.engine.send(Message::Input(crate::dispatcher::Input::NodeList(kind, entries)));
     }
 }
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -1,10 +1,11 @@
-//! Drives the module: turns commands into its events and its actions into effects. No I/O, no clock.
+//! Drives the scheduler: turns commands into its events and its actions into outputs. No I/O, no clock.
 //!
-//! It decides nothing. What the module's interface asks of any host is kept by [`pearfork_drive`]; what this adds is
-//! commands of volumes, and one answer for a command whose parts have one each ([`crate::join`]).
+//! The scheduler makes the decisions. [`pearfork_drive`] does the bookkeeping that the scheduler's interface
+//! requires of any host; this module adds commands to volumes, and one final answer for a command whose parts
+//! each have their own ([`crate::join`]).
 
 use crate::counts::{ClassCounts, NodeCounts, ReasonCounts};
-use crate::join::{Join, PartEnd};
+use crate::join::{Join, PartOutcome};
 use crate::settings::{HostSettings, Matching};
 use crate::volumes::{Part, VolumeId};
 use hdrhistogram::Histogram;
@@ -18,166 +19,170 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Names a command at its front: the connection and the tag there.
+/// Identifies a command of a client: the session and the tag within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Origin {
-    /// The connection, unique in the process.
+pub struct CommandId {
+    /// The session, unique in the process.
     pub session: u64,
     /// The command's tag within it.
     pub tag: u32,
 }
 
-/// A command as a front hands it over. Its blocks exist and its data is whole.
+/// A command as the frontend submits it. Its blocks exist and its data is complete.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Where the answer goes.
-    pub origin: Origin,
-    /// The session's handle on its wire, for the repeat key.
+    /// Identifies the command in its final answer.
+    pub id: CommandId,
+    /// The session's handle (TSIH), for the repeat key.
     pub session_handle: u16,
-    /// The command's number within the session, for the repeat key.
+    /// The command's number within the session (CmdSN), for the repeat key.
     pub command_number: u32,
     /// The volume.
     pub volume: VolumeId,
-    /// What is to be done.
+    /// The operation and its blocks.
     pub media: Media,
-    /// Name of the initiator, for the rules that match requests.
+    /// Name of the initiator, for the matching rules.
     pub initiator: Arc<str>,
-    /// What the client sent.
+    /// Data from the client.
     pub data: Payload,
-    /// When the front read the last of it, on the dispatcher's clock.
+    /// When the frontend had read the whole command, in milliseconds of the dispatcher's clock.
     pub arrived_ms: f64,
 }
 
-/// What a node gave for a part.
+/// How a node completed an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Served {
+pub enum Completion {
     /// GOOD, with data for the client.
     Good(Payload),
-    /// A definite answer that is the client's to know, as a miscompare: the sense data.
-    Check(Vec<u8>),
+    /// CHECK CONDITION with a definite result that is passed on to the client, such as a miscompare: the
+    /// sense data.
+    CheckCondition(Vec<u8>),
 }
 
 /// The final answer to a command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
-    /// Served: data, or the sense data of a part that a node answered with a definite no.
-    Served(Served),
-    /// Refused: a retry does no harm, after so many milliseconds.
+pub enum FinalAnswer {
+    /// Served: data, or the sense data of a part that a node completed with CHECK CONDITION.
+    Served(Completion),
+    /// Refused without effect: the client may safely retry.
     Refused {
-        /// 0: no advice.
+        /// When to retry, in milliseconds from now; 0 for no advice.
         retry_after_ms: f64,
     },
-    /// Failed: nothing is promised.
+    /// Failed: it may or may not have taken effect.
     Failed,
 }
 
-/// An attempt on its way to a node.
+/// An attempt to be sent to a node.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Request and attempt, as the module counts them.
-    pub attempt: AttemptId,
-    /// Unit number at the node: the volume's position.
+pub struct OutgoingAttempt {
+    /// Request and attempt number, as the scheduler counts them.
+    pub id: AttemptId,
+    /// The volume; its position is the LUN at the node.
     pub volume: VolumeId,
-    /// What is to be done.
+    /// The operation and its blocks.
     pub media: Media,
     /// Bytes in a block.
     pub block_len: u32,
     /// Data for the node.
     pub data: Payload,
-    /// Repeat key and size.
+    /// Repeat key, attempt number and cost.
     pub tag: Tag,
-    /// Cleared when the attempt is over for the host: it must not go out any more.
+    /// Cleared once the attempt has ended for the host: it must not be sent any more.
     pub wanted: Arc<AtomicBool>,
-    /// From this moment on the part of its volume's limit that it was drawn from may be another host's: it must not go
-    /// out any more. Milliseconds of the dispatcher's clock; without end where nothing is lent.
+    /// The attempt must not be sent from this time on, in milliseconds of the dispatcher's clock; infinite for
+    /// no bound. For the first attempt of a request to a volume with a leased limit it is the time when the
+    /// lease expires: the share that pays for the request may then belong to another host. For any other
+    /// attempt it is the scheduler's write deadline.
     pub not_after_ms: f64,
 }
 
-/// How an attempt ended, as the link to the node knows it.
+/// How an attempt ended, as reported by the link to its node.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended {
-    /// The node answered.
-    Served(Served),
-    /// The node answered with an error; it may have run.
+pub enum AttemptEnd {
+    /// The node completed it.
+    Served(Completion),
+    /// The node returned an error; the command may have run.
     Error,
-    /// The node turned it away unseen.
-    Full,
-    /// It was never sent.
+    /// The node rejected it as full; the command did not run.
+    Rejected,
+    /// It was not sent for lack of a connection.
     ConnectFailed,
-    /// It was not sent, for a reason that says nothing of its node.
-    Moot,
+    /// It was not sent, for a reason that does not concern its node.
+    NotSent,
     /// The connection was lost after it was sent.
     Reset,
 }
 
-/// What happened.
+/// An event that the dispatcher handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A command came.
+    /// A client sent a command.
     Submit(Box<Submission>),
-    /// A client no longer wants the answer to a command.
-    Abandon(Origin),
-    /// A client's connection is gone.
-    SessionGone(u64),
-    /// An attempt ended.
-    Ended(AttemptId, Ended, Option<Report>),
+    /// A client no longer waits for the answer to a command.
+    Abandon(CommandId),
+    /// A client's session has closed.
+    SessionClosed(u64),
+    /// An attempt ended; with the node's report, if it sent one.
+    AttemptEnded(AttemptId, AttemptEnd, Option<Report>),
     /// The node list, or a change of it.
-    List(ListKind, Vec<NodeEntry>),
-    /// This host's parts of volumes' limits from now on.
-    Lent(Vec<LentPart>),
-    /// Rules by which commands that come from now on get class, plan and key; those in flight keep theirs.
+    NodeList(ListKind, Vec<NodeEntry>),
+    /// This host's shares of the volumes' limits from now on.
+    LimitShares(Vec<LimitShare>),
+    /// Rules that give class, plan and key to commands from now on; commands in flight keep theirs.
     Matching(Arc<Matching>),
 }
 
-/// This host's part of a volume's limit, as parts of the whole.
+/// This host's share of a volume's limit, in fractions of the whole limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LentPart {
+pub struct LimitShare {
     /// The volume.
     pub volume: VolumeId,
-    /// For good.
+    /// Fraction of rate and burst that does not expire.
     pub floor: f64,
-    /// Of the rate, on top of it, until `until_ms`.
-    pub lent: f64,
-    /// The same of what may be stored.
-    pub lent_burst: f64,
-    /// On the dispatcher's clock.
-    pub until_ms: f64,
+    /// Fraction of the rate on top of the floor, until `expires_at_ms`.
+    pub leased: f64,
+    /// Fraction of the burst on top of the floor, until `expires_at_ms`.
+    pub leased_burst: f64,
+    /// When the leased fractions expire, in milliseconds of the dispatcher's clock.
+    pub expires_at_ms: f64,
 }
 
-/// What is to be done.
+/// An operation that the caller of the dispatcher carries out.
 #[derive(Debug)]
-pub enum Effect {
+pub enum Output {
     /// Send an attempt to a node.
-    Send(u32, Box<Order>),
-    /// Tell a node that an attempt is no longer waited for.
+    Send(u32, Box<OutgoingAttempt>),
+    /// Abort an attempt at its node: nobody waits for it any more.
     Abort(u32, AttemptId),
     /// Give a command its final answer.
-    Answer(Origin, Final),
-    /// Go on asking for changes of the node list.
+    Answer(CommandId, FinalAnswer),
+    /// Start or stop watching the directory for changes of the node list.
     Watch(bool),
-    /// Ask for the whole list once.
-    ReadList,
-    /// Close idle connections to a node.
-    CloseIdle(u32),
-    /// A line for the staff.
+    /// Read the whole node list once.
+    FetchNodeList,
+    /// Close the idle connections to a node.
+    CloseIdleConnections(u32),
+    /// Write a log line for the operator.
     Log(String),
 }
 
 struct Command {
-    join: Join<Served>,
+    join: Join<Completion>,
     requests: Vec<u32>,
     class: u16,
     volume: VolumeId,
     arrived: f64,
-    /// Why the module refused or failed a part of it, the first time that it did.
+    /// Why the scheduler refused or failed the first of its parts that was not served.
     reason: Option<Reason>,
 }
 
-struct Live {
-    origin: Origin,
+/// A request of the scheduler without a final answer: one part of a command.
+struct OpenRequest {
+    command: CommandId,
     part: usize,
     volume: VolumeId,
-    spec: Part,
+    extent_part: Part,
     data: Payload,
     units: f64,
     key: RepeatKey,
@@ -185,36 +190,38 @@
 
 /// Drives one [`pearfork::Scheduler`].
 pub struct Dispatcher {
-    plan: Arc<HostSettings>,
+    settings: Arc<HostSettings>,
     matching: Arc<Matching>,
     driver: Driver,
     boot: u32,
-    commands: BTreeMap<Origin, Command>,
-    requests: HashMap<u32, Live>,
-    /// Attempts that are out, and the word that each is still to go.
+    commands: BTreeMap<CommandId, Command>,
+    requests: HashMap<u32, OpenRequest>,
+    /// The [`OutgoingAttempt::wanted`] flags of attempts that have not ended.
     wanted: HashMap<AttemptId, Arc<AtomicBool>>,
-    /// Until when what was lent of a volume's limit holds; none for volumes whose limits are not shared out.
-    lent_until: HashMap<VolumeId, f64>,
-    /// Thousandths of units asked of each volume since the start.
-    asked: Arc<[AtomicU64]>,
+    /// When the leased share of each volume's limit expires; no entry for volumes whose limits the fleet does
+    /// not lend.
+    lease_expiry: HashMap<VolumeId, f64>,
+    /// Units that clients requested of each volume since the start, in thousandths.
+    demand: Arc<[AtomicU64]>,
     steps: Vec<Step>,
     classes: Vec<ClassCounts>,
-    /// Answer times of served commands, microseconds.
-    times: Vec<Histogram<u32>>,
+    /// Latencies of served commands by class, in microseconds.
+    latencies: Vec<Histogram<u32>>,
     nodes: BTreeMap<u32, NodeCounts>,
     reasons: ReasonCounts,
-    listed: BTreeMap<u32, NodeEntry>,
+    node_list: BTreeMap<u32, NodeEntry>,
 }
 
 impl Dispatcher {
-    /// A host from nothing. `boot` names this start in repeat keys, in seconds of the Unix epoch.
+    /// Starts without nodes and commands. `boot` identifies this start of the host in repeat keys, in seconds
+    /// of the Unix epoch.
     ///
     /// # Errors
-    /// The module refuses a setting.
-    pub fn new(plan: Arc<HostSettings>, seed: u64, boot: u32) -> Result<Self, pearfork::SettingsError> {
-        let driver = Driver::new(plan.scheduler.clone(), seed)?;
-        // Two digits up to an hour: a few tens of KiB for each class.
-        let times = Histogram::new_with_bounds(1, 3_600_000_000, 2)
+    /// The scheduler refuses a setting.
+    pub fn new(settings: Arc<HostSettings>, seed: u64, boot: u32) -> Result<Self, pearfork::SettingsError> {
+        let driver = Driver::new(settings.scheduler.clone(), seed)?;
+        // Latencies up to an hour with two significant digits take a few tens of KiB per class.
+        let latencies = Histogram::new_with_bounds(1, 3_600_000_000, 2)
             .unwrap_or_else(|_| Histogram::new(2).expect("2 is a valid precision"));
         Ok(Dispatcher {
             driver,
@@ -222,150 +229,152 @@
             commands: BTreeMap::new(),
             requests: HashMap::new(),
             wanted: HashMap::new(),
-            lent_until: HashMap::new(),
-            asked: plan.volumes.iter().map(|_| AtomicU64::new(0)).collect(),
+            lease_expiry: HashMap::new(),
+            demand: settings.volumes.iter().map(|_| AtomicU64::new(0)).collect(),
             steps: Vec::new(),
-            classes: vec![ClassCounts::default(); plan.class_names.len()],
-            times: vec![times; plan.class_names.len()],
+            classes: vec![ClassCounts::default(); settings.class_names.len()],
+            latencies: vec![latencies; settings.class_names.len()],
             nodes: BTreeMap::new(),
             reasons: ReasonCounts::default(),
-            listed: BTreeMap::new(),
-            matching: plan.matching.clone(),
-            plan,
+            node_list: BTreeMap::new(),
+            matching: settings.matching.clone(),
+            settings,
         })
     }
 
-    /// Takes one input at a time `now` (milliseconds of the Unix epoch, as the node list's) and appends effects.
-    pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Effect>) {
+    /// Handles one input at time `now` (milliseconds of the Unix epoch, like the times of the node list) and
+    /// appends the outputs.
+    pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Submit(s) => self.submit(now, *s, out),
-            Input::Abandon(origin) => self.abandon(origin),
-            Input::SessionGone(session) => {
-                let of_it = Origin { session, tag: 0 }..=Origin { session, tag: u32::MAX };
-                let gone: Vec<Origin> = self.commands.range(of_it).map(|(o, _)| *o).collect();
-                gone.into_iter().for_each(|o| self.abandon(o));
+            Input::Abandon(id) => self.abandon(id),
+            Input::SessionClosed(session) => {
+                let all_tags = CommandId { session, tag: 0 }..=CommandId { session, tag: u32::MAX };
+                let open: Vec<CommandId> = self.commands.range(all_tags).map(|(id, _)| *id).collect();
+                open.into_iter().for_each(|id| self.abandon(id));
             }
-            Input::Ended(id, ended, report) => self.ended(now, id, ended, report, out),
+            Input::AttemptEnded(id, outcome, report) => self.attempt_ended(now, id, outcome, report, out),
             Input::Matching(matching) => self.matching = matching,
-            Input::Lent(parts) => parts.into_iter().for_each(|p| self.lend(p)),
-            Input::List(kind, entries) => {
-                self.note_list(kind, &entries);
+            Input::LimitShares(shares) => shares.into_iter().for_each(|s| self.apply_share(s)),
+            Input::NodeList(kind, entries) => {
+                self.update_node_list(kind, &entries);
                 self.driver.update_node_list(kind, entries);
             }
         }
         self.drive(now, out);
     }
 
-    /// Thousandths of units that clients asked of each volume, by position; it counts on while the host runs.
-    pub fn asked(&self) -> Arc<[AtomicU64]> {
-        self.asked.clone()
+    /// Units that clients requested of each volume since the start, in thousandths, by position. The counters
+    /// are live: they go on counting while the host runs.
+    pub fn demand(&self) -> Arc<[AtomicU64]> {
+        self.demand.clone()
     }
 
-    fn lend(&mut self, p: LentPart) {
-        let Some(volume) = self.plan.volumes.get(p.volume.0 as usize) else { return };
-        let hosts = |part: f64| if part > 0.0 { 1.0 / part } else { f64::INFINITY };
+    fn apply_share(&mut self, s: LimitShare) {
+        let Some(volume) = self.settings.volumes.get(s.volume.0 as usize) else { return };
+        let divisor = |share: f64| if share > 0.0 { 1.0 / share } else { f64::INFINITY };
         self.driver.set_limit_share(Event::LimitShare {
-            volume: u64::from(p.volume.0),
+            volume: u64::from(s.volume.0),
             plan: volume.plan,
-            rate_divisor: hosts(p.floor + p.lent),
-            burst_divisor: hosts(p.floor + p.lent_burst),
-            floor_divisor: hosts(p.floor),
-            until_ms: p.until_ms,
+            rate_divisor: divisor(s.floor + s.leased),
+            burst_divisor: divisor(s.floor + s.leased_burst),
+            floor_divisor: divisor(s.floor),
+            until_ms: s.expires_at_ms,
         });
-        let lent = p.lent > 0.0 || p.lent_burst > 0.0;
-        self.lent_until.insert(p.volume, if lent { p.until_ms } else { f64::INFINITY });
+        let leased = s.leased > 0.0 || s.leased_burst > 0.0;
+        self.lease_expiry.insert(s.volume, if leased { s.expires_at_ms } else { f64::INFINITY });
     }
 
-    /// When something is due next.
-    pub fn next_due(&self) -> Option<f64> {
+    /// When the next timer is due.
+    pub fn next_timer(&self) -> Option<f64> {
         self.driver.next_timer()
     }
 
-    /// Rings what is due.
-    pub fn ring(&mut self, now: f64, out: &mut Vec<Effect>) {
+    /// Fires the timers that are due.
+    pub fn run_timers(&mut self, now: f64, out: &mut Vec<Output>) {
         let mut steps = std::mem::take(&mut self.steps);
         self.driver.run_timers(now, &mut steps);
-        self.carry_out_all(now, steps, out);
+        self.apply_steps(now, steps, out);
     }
 
-    /// Commands without an answer.
+    /// Number of commands without a final answer.
     pub fn open_commands(&self) -> usize {
         self.commands.len()
     }
 
-    /// Counts by class, in the order of the settings.
+    /// Counters by class, in the order of the settings.
     pub fn class_counts(&self) -> &[ClassCounts] {
         &self.classes
     }
 
-    /// Answer times of served commands by class, microseconds.
-    pub fn times(&self) -> &[Histogram<u32>] {
-        &self.times
+    /// Latencies of served commands by class, in microseconds.
+    pub fn latencies(&self) -> &[Histogram<u32>] {
+        &self.latencies
     }
 
-    /// Counts by node.
+    /// Counters by node.
     pub fn node_counts(&self) -> &BTreeMap<u32, NodeCounts> {
         &self.nodes
     }
 
-    /// Refusals and failures by class, volume and the module's reason.
+    /// Refusals and failures by class, volume and the scheduler's reason.
     pub fn reason_counts(&self) -> &ReasonCounts {
         &self.reasons
     }
 
-    /// What the requests without an answer wait for now, by the module's word.
+    /// Number of requests without a final answer, by the reason why they wait at `now`.
     pub fn waiting(&self, now: f64) -> BTreeMap<Reason, u64> {
         self.driver.waiting(now)
     }
 
-    /// The node list as last heard.
-    pub fn listed(&self) -> &BTreeMap<u32, NodeEntry> {
-        &self.listed
+    /// The node list as last received.
+    pub fn node_list(&self) -> &BTreeMap<u32, NodeEntry> {
+        &self.node_list
     }
 
-    fn note_list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
+    fn update_node_list(&mut self, kind: ListKind, entries: &[NodeEntry]) {
         match kind {
             ListKind::Failed => return,
             ListKind::Changes => {}
-            ListKind::Full | ListKind::Cached => self.listed.clear(),
+            ListKind::Full | ListKind::Cached => self.node_list.clear(),
         }
-        self.listed.extend(entries.iter().map(|e| (e.node, *e)));
+        self.node_list.extend(entries.iter().map(|e| (e.node, *e)));
     }
 
-    fn submit(&mut self, now: f64, s: Submission, out: &mut Vec<Effect>) {
-        let plan = self.plan.clone();
-        let Some(volume) = plan.volumes.get(s.volume.0 as usize) else {
-            return out.push(Effect::Answer(s.origin, Final::Failed));
+    fn submit(&mut self, now: f64, s: Submission, out: &mut Vec<Output>) {
+        let settings = self.settings.clone();
+        let Some(volume) = settings.volumes.get(s.volume.0 as usize) else {
+            return out.push(Output::Answer(s.id, FinalAnswer::Failed));
         };
-        let parts = volume.parts(s.media);
+        let parts = volume.split(s.media);
         if parts.is_empty() {
-            // No block is moved: there is nothing to ask a node, and nothing for the module to judge.
-            return out.push(Effect::Answer(s.origin, Final::Served(Served::Good(Payload::new()))));
+            // The command transfers no block, so that neither a node nor the scheduler is involved.
+            return out.push(Output::Answer(s.id, FinalAnswer::Served(Completion::Good(Payload::new()))));
         }
         let block = volume.unit.block_len;
-        let fields = |media: &Media| plan.fields_of(volume, media, &s.initiator, s.arrived_ms);
+        let fields = |media: &Media| settings.fields_of(volume, media, &s.initiator, s.arrived_ms);
         let whole = fields(&s.media);
         let class = self.matching.class_of(&whole);
         let plan_number = self.matching.plan_of(&whole).unwrap_or(volume.plan);
-        let rule = &plan.scheduler.classes[usize::from(class)];
-        // Danger: the client's time runs from its sending. Counted from when this thread came to it, a command
-        // that waited while the host stood still would be answered after its client had left.
+        let rule = &settings.scheduler.classes[usize::from(class)];
+        // The deadline counts from the command's arrival. Counted from when this thread handles it, a command
+        // that was queued while the host was suspended would be answered after its client had timed out.
         let arrived = s.arrived_ms.min(now);
         self.classes[usize::from(class)].taken += 1;
         let mut requests = Vec::with_capacity(parts.len());
         for (n, part) in parts.iter().enumerate() {
             let id = self.driver.allocate_id();
-            let moved = part.media.moves(block);
+            let bytes = part.media.moves(block);
             let valid_until = arrived + rule.deadline_ms;
-            let live = Live {
-                origin: s.origin,
+            let request = OpenRequest {
+                command: s.id,
                 part: n,
                 volume: s.volume,
-                spec: *part,
+                extent_part: *part,
                 data: s.data.slice(part.offset, part.media.data_out(block) as usize),
-                units: plan.units_of(moved),
+                units: settings.units_of(bytes),
                 key: RepeatKey {
-                    host: plan.number,
+                    host: settings.number,
                     boot: self.boot,
                     session: s.session_handle,
                     command: s.command_number,
@@ -379,21 +388,21 @@
                 key: self.matching.key_of(&fields(&part.media)).unwrap_or(part.extent),
                 valid_until_ms: valid_until,
                 volume: u64::from(s.volume.0),
-                units: live.units,
+                units: request.units,
                 shard: Some(part.shard),
                 volume_hosts: f64::from(volume.hosts),
             });
-            self.asked[s.volume.0 as usize].fetch_add((live.units * 1_000.0) as u64, Ordering::Relaxed);
-            self.requests.insert(id, live);
+            self.demand[s.volume.0 as usize].fetch_add((request.units * 1_000.0) as u64, Ordering::Relaxed);
+            self.requests.insert(id, request);
             requests.push(id);
         }
         let join = Join::new(parts.len(), rule.effect);
         let (volume, reason) = (s.volume, None);
-        self.commands.insert(s.origin, Command { join, requests, class, volume, arrived, reason });
+        self.commands.insert(s.id, Command { join, requests, class, volume, arrived, reason });
     }
 
-    fn abandon(&mut self, origin: Origin) {
-        let Some(command) = self.commands.remove(&origin) else { return };
+    fn abandon(&mut self, id: CommandId) {
+        let Some(command) = self.commands.remove(&id) else { return };
         self.classes[usize::from(command.class)].abandoned += 1;
         for id in command.requests {
             if self.requests.remove(&id).is_some() {
@@ -402,26 +411,26 @@
         }
     }
 
-    /// Gives the module what waits for it and carries out what it says, until both are quiet.
-    fn drive(&mut self, now: f64, out: &mut Vec<Effect>) {
+    /// Passes queued events to the scheduler and applies its actions, until neither is left.
+    fn drive(&mut self, now: f64, out: &mut Vec<Output>) {
         let mut steps = std::mem::take(&mut self.steps);
         self.driver.process_events(now, &mut steps);
-        self.carry_out_all(now, steps, out);
+        self.apply_steps(now, steps, out);
     }
 
-    fn carry_out_all(&mut self, now: f64, mut steps: Vec<Step>, out: &mut Vec<Effect>) {
-        steps.drain(..).for_each(|step| self.carry_out(now, step, out));
+    fn apply_steps(&mut self, now: f64, mut steps: Vec<Step>, out: &mut Vec<Output>) {
+        steps.drain(..).for_each(|step| self.apply_step(now, step, out));
         self.steps = steps;
     }
 
-    fn carry_out(&mut self, now: f64, step: Step, out: &mut Vec<Effect>) {
+    fn apply_step(&mut self, now: f64, step: Step, out: &mut Vec<Output>) {
         match step {
             Step::Send { attempt, node, write_deadline_ms, .. } => {
                 self.send(attempt, node, write_deadline_ms, out)
             }
             Step::AttemptDropped { attempt, node, result } => {
-                self.unwanted(attempt);
-                out.push(Effect::Abort(node, attempt));
+                self.clear_wanted(attempt);
+                out.push(Output::Abort(node, attempt));
                 let counts = self.nodes.entry(node).or_default();
                 match result {
                     AttemptResult::Cancelled => counts.cancelled += 1,
@@ -429,125 +438,126 @@
                 }
             }
             Step::Refused { id, retry_after_ms, reason } => {
-                self.part_ends(now, id, PartEnd::Refused(retry_after_ms), Some(reason), out)
+                self.part_ended(now, id, PartOutcome::Refused(retry_after_ms), Some(reason), out)
             }
-            Step::Failed { id, reason } => self.part_ends(now, id, PartEnd::Failed, Some(reason), out),
-            Step::Watch(on) => out.push(Effect::Watch(on)),
-            Step::FetchNodeList => out.push(Effect::ReadList),
-            Step::CloseIdleConnections(node) => out.push(Effect::CloseIdle(node)),
-            Step::Log(text) => out.push(Effect::Log(text)),
+            Step::Failed { id, reason } => self.part_ended(now, id, PartOutcome::Failed, Some(reason), out),
+            Step::Watch(on) => out.push(Output::Watch(on)),
+            Step::FetchNodeList => out.push(Output::FetchNodeList),
+            Step::CloseIdleConnections(node) => out.push(Output::CloseIdleConnections(node)),
+            Step::Log(text) => out.push(Output::Log(text)),
         }
     }
 
-    fn send(&mut self, attempt: AttemptId, node: u32, write_deadline_ms: f64, out: &mut Vec<Effect>) {
-        let Some(live) = self.requests.get(&attempt.request) else { return };
+    fn send(&mut self, id: AttemptId, node: u32, write_deadline_ms: f64, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(&id.request) else { return };
         let wanted = Arc::new(AtomicBool::new(true));
-        let block_len = self.plan.volumes[live.volume.0 as usize].unit.block_len;
-        let order = Order {
-            attempt,
-            volume: live.volume,
-            media: live.spec.media,
+        let block_len = self.settings.volumes[request.volume.0 as usize].unit.block_len;
+        let outgoing = OutgoingAttempt {
+            id,
+            volume: request.volume,
+            media: request.extent_part.media,
             block_len,
-            data: live.data.clone(),
+            data: request.data.clone(),
             tag: Tag {
-                key: live.key,
-                attempt: attempt.number,
-                volume: live.volume.0,
-                milli_units: (live.units * 1_000.0) as u32,
+                key: request.key,
+                attempt: id.number,
+                volume: request.volume.0,
+                milli_units: (request.units * 1_000.0) as u32,
             },
             wanted: wanted.clone(),
-            // Its units are drawn at its first sending; a further attempt draws none.
-            not_after_ms: match self.lent_until.get(&live.volume) {
-                Some(until) if attempt.number == 0 => *until,
+            // Only the first attempt draws the request's units from the leased share; retries draw nothing.
+            not_after_ms: match self.lease_expiry.get(&request.volume) {
+                Some(until) if id.number == 0 => *until,
                 _ => write_deadline_ms,
             },
         };
-        self.wanted.insert(attempt, wanted);
+        self.wanted.insert(id, wanted);
         let counts = self.nodes.entry(node).or_default();
         counts.sent += 1;
-        counts.retries += u64::from(attempt.number > 0);
-        out.push(Effect::Send(node, Box::new(order)));
+        counts.retries += u64::from(id.number > 0);
+        out.push(Output::Send(node, Box::new(outgoing)));
     }
 
-    /// An attempt is over for the host: it must not go out any more.
-    fn unwanted(&mut self, id: AttemptId) {
+    /// Clears the flag of an attempt that has ended for the host, so that a queued one is not sent.
+    fn clear_wanted(&mut self, id: AttemptId) {
         self.wanted.remove(&id).iter().for_each(|wanted| wanted.store(false, Ordering::SeqCst));
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: f64,
         id: AttemptId,
-        ended: Ended,
+        outcome: AttemptEnd,
         report: Option<Report>,
-        out: &mut Vec<Effect>,
+        out: &mut Vec<Output>,
     ) {
         let Some(node) = self.driver.node_of(id) else { return };
-        self.unwanted(id);
+        self.clear_wanted(id);
         let counts = self.nodes.entry(node).or_default();
-        let (verdict, count) = match &ended {
-            Ended::Served(_) => (AttemptResult::Served, &mut counts.served),
-            Ended::Error => (AttemptResult::Error, &mut counts.errors),
-            Ended::Full => (AttemptResult::Rejected, &mut counts.full),
-            Ended::ConnectFailed => (AttemptResult::ConnectFailed, &mut counts.connect_failed),
-            Ended::Moot => (AttemptResult::NotSent, &mut counts.not_sent),
-            Ended::Reset => (AttemptResult::Reset, &mut counts.reset),
+        let (result, count) = match &outcome {
+            AttemptEnd::Served(_) => (AttemptResult::Served, &mut counts.served),
+            AttemptEnd::Error => (AttemptResult::Error, &mut counts.errors),
+            AttemptEnd::Rejected => (AttemptResult::Rejected, &mut counts.full),
+            AttemptEnd::ConnectFailed => (AttemptResult::ConnectFailed, &mut counts.connect_failed),
+            AttemptEnd::NotSent => (AttemptResult::NotSent, &mut counts.not_sent),
+            AttemptEnd::Reset => (AttemptResult::Reset, &mut counts.reset),
         };
         *count += 1;
-        let serves = self.driver.attempt_ended(now, id, verdict, report.map_or(NodeReport::default(), told));
-        if let (true, Ended::Served(served)) = (serves, ended) {
-            self.part_ends(now, id.request, PartEnd::Served(served), None, out);
+        let serves =
+            self.driver.attempt_ended(now, id, result, report.map_or(NodeReport::default(), node_report));
+        if let (true, AttemptEnd::Served(completion)) = (serves, outcome) {
+            self.part_ended(now, id.request, PartOutcome::Served(completion), None, out);
         }
     }
 
-    fn part_ends(
+    fn part_ended(
         &mut self,
         now: f64,
         id: u32,
-        end: PartEnd<Served>,
+        outcome: PartOutcome<Completion>,
         reason: Option<Reason>,
-        out: &mut Vec<Effect>,
+        out: &mut Vec<Output>,
     ) {
-        let Some(live) = self.requests.remove(&id) else { return };
-        let Some(command) = self.commands.get_mut(&live.origin) else { return };
+        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(command) = self.commands.get_mut(&request.command) else { return };
         command.reason = command.reason.or(reason);
-        let Some(end) = command.join.end(live.part, end) else { return };
+        let Some(outcome) = command.join.record(request.part, outcome) else { return };
         let counts = &mut self.classes[usize::from(command.class)];
-        let answer = match end {
-            PartEnd::Served(parts) => {
+        let answer = match outcome {
+            PartOutcome::Served(parts) => {
                 counts.served += 1;
-                let aim = self.plan.scheduler.classes[usize::from(command.class)].aim_ms;
+                let aim = self.settings.scheduler.classes[usize::from(command.class)].aim_ms;
                 counts.late += u64::from(now - command.arrived > aim);
-                self.times[usize::from(command.class)]
+                self.latencies[usize::from(command.class)]
                     .saturating_record(((now - command.arrived) * 1e3) as u64);
-                Final::Served(joined(parts))
+                FinalAnswer::Served(concat(parts))
             }
-            PartEnd::Refused(retry_after_ms) => {
+            PartOutcome::Refused(retry_after_ms) => {
                 counts.refused += 1;
-                Final::Refused { retry_after_ms }
+                FinalAnswer::Refused { retry_after_ms }
             }
-            PartEnd::Failed => {
+            PartOutcome::Failed => {
                 counts.failed += 1;
-                Final::Failed
+                FinalAnswer::Failed
             }
         };
-        if let (Some(reason), Final::Refused { .. } | Final::Failed) = (command.reason, &answer) {
-            let failed = answer == Final::Failed;
+        if let (Some(reason), FinalAnswer::Refused { .. } | FinalAnswer::Failed) = (command.reason, &answer) {
+            let failed = answer == FinalAnswer::Failed;
             let (class, volume) = (command.class, command.volume);
             if self.reasons.add(now, class, volume, reason, failed) {
                 let verb = if failed { "failed" } else { "refused" };
-                let class = &self.plan.class_names[usize::from(class)];
-                let volume = &self.plan.volumes[volume.0 as usize].name;
-                out.push(Effect::Log(format!("{verb}, {reason}: {class} on volume {volume}")));
+                let class = &self.settings.class_names[usize::from(class)];
+                let volume = &self.settings.volumes[volume.0 as usize].name;
+                out.push(Output::Log(format!("{verb}, {reason}: {class} on volume {volume}")));
             }
         }
-        self.commands.remove(&live.origin);
-        out.push(Effect::Answer(live.origin, answer));
+        self.commands.remove(&request.command);
+        out.push(Output::Answer(request.command, answer));
     }
 }
 
-/// A node's report as the module is told it.
-fn told(r: Report) -> NodeReport {
+/// Converts a node's report to the driver's form.
+fn node_report(r: Report) -> NodeReport {
     NodeReport {
         used_percent: Some(r.used_percent).filter(|u| *u != u16::MAX).map(f64::from),
         other_hosts_units: f64::from(r.foreign_milli_units) / 1_000.0,
@@ -558,14 +568,14 @@
     }
 }
 
-/// Data of all parts in order; a part's definite no counts for the whole.
-fn joined(parts: Vec<Served>) -> Served {
+/// Concatenates the data of all parts in order; the first CHECK CONDITION stands for the whole command.
+fn concat(parts: Vec<Completion>) -> Completion {
     let mut all = Payload::new();
     for part in parts {
         match part {
-            Served::Good(data) => all.append(data),
+            Completion::Good(data) => all.append(data),
             check => return check,
         }
     }
-    Served::Good(all)
+    Completion::Good(all)
 }
--- a/crates/host/src/engine.rs
+++ b/crates/host/src/engine.rs
@@ -1,6 +1,8 @@
 //! The one thread that owns a host's dispatcher.
 
-use crate::dispatcher::{AttemptId, Dispatcher, Effect, Ended, Final, Input, LentPart, Origin};
+use crate::dispatcher::{
+    AttemptEnd, AttemptId, CommandId, Dispatcher, FinalAnswer, Input, LimitShare, Output,
+};
 use crate::links::Links;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use pearfork_iscsi::ext::Report;
@@ -8,61 +10,63 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the engine is told.
+/// A message to the engine's thread.
 pub(crate) enum Message {
     Input(Input),
-    /// This host's parts of volumes' limits from now on, and whom to tell that all that goes out from then on goes by them.
-    Lent(Vec<LentPart>, Sender<()>),
-    /// A look at the state of things, at a time of the engine's clock.
-    Look(Box<Look>),
-    /// Stand still for so long, as a suspended process does: for tests of that trouble.
-    StandStill(Duration),
-    /// Leave at once.
+    /// This host's shares of the volumes' limits from now on. The sender is notified once everything that is
+    /// sent from then on goes by these shares.
+    LimitShares(Vec<LimitShare>, Sender<()>),
+    /// Runs a function on the dispatcher's state.
+    Inspect(Box<Inspection>),
+    /// Blocks the engine for this long, as if the process were suspended; for tests of that fault.
+    Stall(Duration),
+    /// Ends the thread at once.
     Stop,
 }
 
 impl Message {
-    pub(crate) fn ended(id: AttemptId, ended: Ended, report: Option<Report>) -> Message {
-        Message::Input(Input::Ended(id, ended, report))
+    pub(crate) fn attempt_ended(id: AttemptId, outcome: AttemptEnd, report: Option<Report>) -> Message {
+        Message::Input(Input::AttemptEnded(id, outcome, report))
     }
 }
 
-/// What a look does; it takes what it wants with it, and must not take long.
-pub(crate) type Look = dyn FnOnce(&Dispatcher, f64) + Send;
+/// A function that reads the dispatcher's state at a time of the engine's clock. It runs on the engine's
+/// thread and must return quickly.
+pub(crate) type Inspection = dyn FnOnce(&Dispatcher, f64) + Send;
 
-/// Looks at the state of things; `None` where the engine does not answer in time. Each caller asks for what it wants alone: the
-/// engine copies nothing for those who look at something else.
-pub(crate) fn look<T: Send + 'static>(
+/// Runs `read` on the dispatcher's state; `None` if the engine's queue is full or it does not answer within 2
+/// s. The caller selects what it needs, so that the engine copies nothing else.
+pub(crate) fn inspect<T: Send + 'static>(
     engine: &Sender<Message>,
-    at: impl FnOnce(&Dispatcher, f64) -> T + Send + 'static,
+    read: impl FnOnce(&Dispatcher, f64) -> T + Send + 'static,
 ) -> Option<T> {
     let (to, from) = bounded(1);
-    let look = move |d: &Dispatcher, now| drop(to.try_send(at(d, now)));
-    engine.try_send(Message::Look(Box::new(look))).ok()?;
+    let inspection = move |d: &Dispatcher, now| drop(to.try_send(read(d, now)));
+    engine.try_send(Message::Inspect(Box::new(inspection))).ok()?;
     from.recv_timeout(Duration::from_secs(2)).ok()
 }
 
-/// Whom effects go to. Neither call may block.
-pub(crate) trait Outside: Send {
-    fn answer(&self, origin: Origin, answer: Final);
+/// Receives the outputs that do not go to storage nodes. No method may block.
+pub(crate) trait OutputHandler: Send {
+    fn answer(&self, id: CommandId, answer: FinalAnswer);
     fn watch(&self, on: bool);
-    fn read_list(&self);
+    fn fetch_node_list(&self);
 }
 
-/// Most messages taken before timers are looked at again.
+/// Maximum number of messages handled before timers are checked again.
 const BATCH: usize = 256;
 
-/// Runs until told to stop, or until nobody can tell it anything any more.
+/// Runs until it receives [`Message::Stop`] or every sender is gone.
 pub(crate) fn run(
     mut dispatcher: Dispatcher,
     clock: Clock,
     messages: &Receiver<Message>,
     links: &Arc<Links>,
-    outside: &dyn Outside,
+    handler: &dyn OutputHandler,
 ) {
-    let mut effects = Vec::new();
+    let mut outputs = Vec::new();
     loop {
-        let first = match dispatcher.next_due() {
+        let first = match dispatcher.next_timer() {
             Some(at) => match messages.recv_deadline(clock.instant(at)) {
                 Ok(m) => Some(m),
                 Err(RecvTimeoutError::Timeout) => None,
@@ -75,33 +79,33 @@
         };
         for message in first.into_iter().chain(messages.try_iter().take(BATCH)) {
             match message {
-                Message::Input(input) => dispatcher.handle(clock.now_ms(), input, &mut effects),
-                Message::Lent(parts, done) => {
-                    dispatcher.handle(clock.now_ms(), Input::Lent(parts), &mut effects);
-                    // Whoever waited too long for this has gone, and takes the parts as not applied.
-                    let _ = done.try_send(());
+                Message::Input(input) => dispatcher.handle(clock.now_ms(), input, &mut outputs),
+                Message::LimitShares(shares, applied) => {
+                    dispatcher.handle(clock.now_ms(), Input::LimitShares(shares), &mut outputs);
+                    // A sender that timed out has dropped its receiver and treats the shares as not applied.
+                    let _ = applied.try_send(());
                 }
-                Message::Look(look) => look(&dispatcher, clock.now_ms()),
-                Message::StandStill(span) => std::thread::sleep(span),
+                Message::Inspect(inspection) => inspection(&dispatcher, clock.now_ms()),
+                Message::Stall(span) => std::thread::sleep(span),
                 Message::Stop => return,
             }
-            carry_out(&mut effects, links, outside);
+            carry_out(&mut outputs, links, handler);
         }
-        dispatcher.ring(clock.now_ms(), &mut effects);
-        carry_out(&mut effects, links, outside);
+        dispatcher.run_timers(clock.now_ms(), &mut outputs);
+        carry_out(&mut outputs, links, handler);
     }
 }
 
-fn carry_out(effects: &mut Vec<Effect>, links: &Arc<Links>, outside: &dyn Outside) {
-    for effect in effects.drain(..) {
-        match effect {
-            Effect::Send(node, order) => links.send(node, *order),
-            Effect::Abort(node, id) => links.abort(node, id),
-            Effect::Answer(origin, answer) => outside.answer(origin, answer),
-            Effect::Watch(on) => outside.watch(on),
-            Effect::ReadList => outside.read_list(),
-            Effect::CloseIdle(node) => links.close_idle(node),
-            Effect::Log(text) => tracing::info!(target: "pearfork::module", "{text}"),
+fn carry_out(outputs: &mut Vec<Output>, links: &Arc<Links>, handler: &dyn OutputHandler) {
+    for output in outputs.drain(..) {
+        match output {
+            Output::Send(node, attempt) => links.send(node, *attempt),
+            Output::Abort(node, id) => links.abort(node, id),
+            Output::Answer(id, answer) => handler.answer(id, answer),
+            Output::Watch(on) => handler.watch(on),
+            Output::FetchNodeList => handler.fetch_node_list(),
+            Output::CloseIdleConnections(node) => links.close_idle(node),
+            Output::Log(text) => tracing::info!(target: "pearfork::module", "{text}"),
         }
     }
 }
--- a/crates/host/src/front.rs
+++ b/crates/host/src/frontend.rs
@@ -1,8 +1,8 @@
-//! The iSCSI front: commands of clients become submissions, final answers become SCSI responses.
+//! The iSCSI frontend: turns commands of clients into submissions and final answers into SCSI responses.
 //!
-//! It holds no decision: what needs the medium goes to the engine, and the engine's answer is put into words.
+//! Commands that read or write the medium go to the engine; the frontend answers the others itself.
 
-use crate::dispatcher::{Final, Input, Origin, Served, Submission};
+use crate::dispatcher::{CommandId, Completion, FinalAnswer, Input, Submission};
 use crate::engine::Message;
 use crate::settings::HostSettings;
 use crate::volumes::{Volume, VolumeId};
@@ -14,16 +14,16 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Who may log in where: the volumes' lists.
-pub(crate) struct Door {
-    pub(crate) plan: Arc<HostSettings>,
+/// Grants initiators access to targets by the volumes' lists of initiators.
+pub(crate) struct InitiatorAccess {
+    pub(crate) settings: Arc<HostSettings>,
     pub(crate) address: SocketAddr,
 }
 
-impl Access for Door {
+impl Access for InitiatorAccess {
     fn targets(&self, initiator: &str) -> Vec<(String, String)> {
         let mut out: Vec<(String, String)> = Vec::new();
-        for v in self.plan.volumes.iter().filter(|v| v.admits(initiator)) {
+        for v in self.settings.volumes.iter().filter(|v| v.allows(initiator)) {
             if out.iter().all(|(name, _)| *name != v.target) {
                 out.push((v.target.clone(), self.address.to_string()));
             }
@@ -32,11 +32,11 @@
     }
 
     fn admit(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
-        let mut of_target = self.plan.volumes.iter().filter(|v| v.target == target).peekable();
+        let mut of_target = self.settings.volumes.iter().filter(|v| v.target == target).peekable();
         if of_target.peek().is_none() {
             return Err(LoginStatus::NOT_FOUND);
         }
-        if of_target.any(|v| v.admits(initiator)) {
+        if of_target.any(|v| v.allows(initiator)) {
             Ok(())
         } else {
             Err(LoginStatus::FORBIDDEN)
@@ -44,119 +44,125 @@
     }
 }
 
+/// A session that is logged in.
 struct Client {
     session: Arc<Session>,
     initiator: Arc<str>,
     target: String,
-    /// Volumes by unit number.
+    /// Volumes by LUN.
     units: HashMap<u16, VolumeId>,
-    /// Bytes that each command in work moves by its CDB.
+    /// Number of bytes that each open command transfers according to its CDB, by tag.
     lengths: HashMap<u32, u64>,
-    /// A reset by another session is still to be told (SAM-5, section 5.14).
+    /// A unit attention condition is pending after a reset by another session (SAM-5, section 5.14).
     attention: bool,
 }
 
-/// Sessions and what is under way in them.
-pub(crate) struct Front {
-    plan: Arc<HostSettings>,
+/// The sessions of clients and their open commands.
+pub(crate) struct Frontend {
+    settings: Arc<HostSettings>,
     engine: Sender<Message>,
     clock: Clock,
     clients: Mutex<HashMap<u64, Client>>,
 }
 
-impl Front {
-    pub(crate) fn new(plan: Arc<HostSettings>, engine: Sender<Message>, clock: Clock) -> Self {
-        Front { plan, engine, clock, clients: Mutex::default() }
+impl Frontend {
+    pub(crate) fn new(settings: Arc<HostSettings>, engine: Sender<Message>, clock: Clock) -> Self {
+        Frontend { settings, engine, clock, clients: Mutex::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, Client>> {
         self.clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sessions now logged in.
+    /// Number of sessions that are logged in.
     pub(crate) fn sessions(&self) -> usize {
         self.lock().len()
     }
 
-    fn tell(&self, input: Input) {
-        // Blocks the client's own reading thread while the engine is behind, nobody else.
+    fn send(&self, input: Input) {
+        // If the engine's queue is full, this blocks only the reading thread of the client's own connection.
         let _ = self.engine.send(Message::Input(input));
     }
 
     fn volume(&self, id: VolumeId) -> &Volume {
-        &self.plan.volumes[id.0 as usize]
+        &self.settings.volumes[id.0 as usize]
     }
 
     /// Gives a command its final answer.
-    pub(crate) fn answer(&self, origin: Origin, answer: Final) {
+    pub(crate) fn answer(&self, id: CommandId, answer: FinalAnswer) {
         let found = {
             let mut clients = self.lock();
-            let Some(client) = clients.get_mut(&origin.session) else { return };
-            let Some(length) = client.lengths.remove(&origin.tag) else { return };
+            let Some(client) = clients.get_mut(&id.session) else { return };
+            let Some(length) = client.lengths.remove(&id.tag) else { return };
             (client.session.clone(), length)
         };
         let (session, full_length) = found;
         let response = match answer {
-            Final::Served(Served::Good(data)) => Response { data, full_length, ..Default::default() },
-            Final::Served(Served::Check(sense)) => {
+            FinalAnswer::Served(Completion::Good(data)) => {
+                Response { data, full_length, ..Default::default() }
+            }
+            FinalAnswer::Served(Completion::CheckCondition(sense)) => {
                 Response { status: status::CHECK_CONDITION, sense, ..Default::default() }
             }
-            Final::Refused { retry_after_ms } => {
-                // Status qualifier: scope this nexus and unit (00b), tenths of a second, rounded up so that nobody
-                // comes early (SAM-5, 5.3.3). Without advice the task set was simply full.
+            FinalAnswer::Refused { retry_after_ms } => {
+                // The status qualifier holds the delay in tenths of a second for this I_T_L nexus (scope 00b;
+                // SAM-5, section 5.3.3), rounded up so that no client retries early. Without a delay the
+                // status is TASK SET FULL.
                 let tenths = (retry_after_ms / 100.0).ceil().clamp(0.0, f64::from(0x3fefu16)) as u16;
                 let status = if tenths > 0 { status::BUSY } else { status::TASK_SET_FULL };
                 Response { status, qualifier: tenths, ..Default::default() }
             }
-            Final::Failed => check(Sense::ABORTED),
+            FinalAnswer::Failed => check_condition(Sense::ABORTED),
         };
-        session.respond(TaskTag(origin.tag), response);
+        session.respond(TaskTag(id.tag), response);
     }
 
-    /// What a command leads to: an answer at once, or a submission.
-    fn consider(&self, client: &mut Client, command: &ScsiCommand) -> Result<Submission, Response> {
+    /// Turns a command into a submission; as an error, the response to a command that needs no node.
+    fn prepare(&self, client: &mut Client, command: &ScsiCommand) -> Result<Submission, Response> {
         let parsed = Cdb::parse(&command.cdb);
         if let Ok(Cdb::ReportLuns { select, room }) = parsed {
-            return Err(local(report_luns(select, room, sorted(&client.units))));
+            return Err(local_response(report_luns(select, room, sorted(&client.units))));
         }
         let volume = unit_of(command.lun).and_then(|u| client.units.get(&u)).map(|id| self.volume(*id));
         let Some(volume) = volume else {
-            // A unit that is not there still says so by INQUIRY (SPC-4, section 6.6.1).
+            // INQUIRY succeeds for a logical unit that does not exist, and reports that (SPC-4, section 6.6.1).
             return Err(match parsed {
                 Ok(Cdb::Inquiry { page: None, room }) => {
-                    let mut none = vec![0x7f, 0, 6, 2, 31];
-                    none.resize(36.min(room as usize).max(5), 0);
-                    none.truncate(room as usize);
-                    local(Answer::Data(none))
+                    let mut no_unit = vec![0x7f, 0, 6, 2, 31];
+                    no_unit.resize(36.min(room as usize).max(5), 0);
+                    no_unit.truncate(room as usize);
+                    local_response(Answer::Data(no_unit))
                 }
-                _ => check(Sense::NO_UNIT),
+                _ => check_condition(Sense::NO_UNIT),
             });
         };
-        let cdb = parsed.map_err(check)?;
+        let cdb = parsed.map_err(check_condition)?;
         if client.attention && !matches!(cdb, Cdb::Inquiry { .. } | Cdb::RequestSense { .. }) {
             client.attention = false;
-            return Err(check(Sense::RESET));
+            return Err(check_condition(Sense::RESET));
         }
         let mut media = match volume.unit.answer(&cdb) {
             Answer::Media(media) => media,
-            other => return Err(local(other)),
+            other => return Err(local_response(other)),
         };
         let block = volume.unit.block_len;
         let full = media.moves(block);
         let sent = command.data.len() as u64;
         if media.op == MediaOp::CompareAndWrite && sent != media.data_out(block) {
-            // Danger: half a comparison, or a write beside one, is not what the client meant.
-            return Err(Response { full_length: full, ..check(Sense::invalid_field(13)) });
+            // With too little or too much data, COMPARE AND WRITE would compare or write other blocks than
+            // the client meant.
+            return Err(Response { full_length: full, ..check_condition(Sense::invalid_field(13)) });
         }
         if sent < media.data_out(block) {
-            // The initiator announced less than the CDB moves: whole blocks of what came are taken, and the residual
-            // tells the rest (RFC 7143, section 11.4.5.2). A part of a block changes nothing.
+            // The initiator sent less data than the CDB transfers: the whole blocks received are written, and
+            // the residual count covers the rest (RFC 7143, section 11.4.5.2). An incomplete block is not
+            // written.
             media.blocks = (sent / u64::from(block)) as u32;
         }
         let needed = media.data_out(block);
         client.lengths.insert(command.tag.0, full);
         Ok(Submission {
-            origin: Origin { session: client.session.id().0, tag: command.tag.0 },
+            id: CommandId { session: client.session.id().0, tag: command.tag.0 },
             session_handle: client.session.tsih(),
             command_number: command.cmd_sn,
             volume: volume.id,
@@ -174,23 +180,23 @@
     all.into_iter()
 }
 
-fn check(sense: Sense) -> Response {
+fn check_condition(sense: Sense) -> Response {
     Response { status: status::CHECK_CONDITION, sense: sense.to_bytes(), ..Default::default() }
 }
 
-fn local(answer: Answer) -> Response {
+fn local_response(answer: Answer) -> Response {
     match answer {
         Answer::Data(data) => {
             let data: Payload = data.into();
             Response { full_length: data.len() as u64, data, ..Default::default() }
         }
-        Answer::Check(sense) => check(sense),
-        // Never reached by the callers, who take media commands out before.
-        Answer::Media(_) => check(Sense::INVALID_OPCODE),
+        Answer::Check(sense) => check_condition(sense),
+        // Unreachable: the callers have handled media commands already.
+        Answer::Media(_) => check_condition(Sense::INVALID_OPCODE),
     }
 }
 
-impl Service for Front {
+impl Service for Frontend {
     fn logged_in(
         &self,
         session: &Arc<Session>,
@@ -198,9 +204,9 @@
         target: Option<&str>,
     ) -> Result<(), LoginStatus> {
         let target = target.unwrap_or_default().to_owned();
-        let mine = self.plan.volumes.iter().filter(|v| v.target == target && v.admits(initiator));
-        let units = mine.map(|v| (v.lun, v.id)).collect();
-        tracing::info!(peer = %session.peer(), initiator, target, "session begins");
+        let allowed = self.settings.volumes.iter().filter(|v| v.target == target && v.allows(initiator));
+        let units = allowed.map(|v| (v.lun, v.id)).collect();
+        tracing::info!(peer = %session.peer(), initiator, target, "session opened");
         let client = Client {
             session: session.clone(),
             initiator: initiator.into(),
@@ -214,12 +220,12 @@
     }
 
     fn command(&self, session: &Arc<Session>, command: ScsiCommand) {
-        let considered = match self.lock().get_mut(&session.id().0) {
-            Some(client) => self.consider(client, &command),
+        let prepared = match self.lock().get_mut(&session.id().0) {
+            Some(client) => self.prepare(client, &command),
             None => return,
         };
-        match considered {
-            Ok(submission) => self.tell(Input::Submit(Box::new(submission))),
+        match prepared {
+            Ok(submission) => self.send(Input::Submit(Box::new(submission))),
             Err(response) => session.respond(command.tag, response),
         }
     }
@@ -228,14 +234,14 @@
         if let Some(client) = self.lock().get_mut(&session.id().0) {
             client.lengths.remove(&tag.0);
         }
-        self.tell(Input::Abandon(Origin { session: session.id().0, tag: tag.0 }));
+        self.send(Input::Abandon(CommandId { session: session.id().0, tag: tag.0 }));
     }
 
     fn managed(&self, session: &Arc<Session>, function: TmfFunction, lun: u64) {
         if !matches!(function, TmfFunction::ClearTaskSet | TmfFunction::LunReset | TmfFunction::TargetReset) {
             return;
         }
-        let whole = function == TmfFunction::TargetReset;
+        let all_units = function == TmfFunction::TargetReset;
         let others: Vec<Arc<Session>> = {
             let mut clients = self.lock();
             let target = clients.get(&session.id().0).map(|c| c.target.clone());
@@ -243,7 +249,7 @@
                 .iter_mut()
                 .filter(|(id, c)| **id != session.id().0 && Some(&c.target) == target.as_ref());
             others
-                .filter(|(_, c)| whole || unit_of(lun).is_some_and(|u| c.units.contains_key(&u)))
+                .filter(|(_, c)| all_units || unit_of(lun).is_some_and(|u| c.units.contains_key(&u)))
                 .map(|(_, c)| {
                     c.attention = true;
                     c.session.clone()
@@ -252,7 +258,7 @@
         };
         for other in others {
             for tag in
-                other.abort_tasks(if whole { None } else { Some(lun_field(unit_of(lun).unwrap_or(0))) })
+                other.abort_tasks(if all_units { None } else { Some(lun_field(unit_of(lun).unwrap_or(0))) })
             {
                 self.aborted(&other, tag);
             }
@@ -261,10 +267,10 @@
 
     fn closed(&self, session: &Arc<Session>, why: &str) {
         if self.lock().remove(&session.id().0).is_some() {
-            tracing::info!(peer = %session.peer(), why, "session ends");
+            tracing::info!(peer = %session.peer(), why, "session closed");
         } else {
-            tracing::info!(peer = %session.peer(), why, "connection ends before a session began");
+            tracing::info!(peer = %session.peer(), why, "connection closed before login completed");
         }
-        self.tell(Input::SessionGone(session.id().0));
+        self.send(Input::SessionClosed(session.id().0));
     }
 }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -1,11 +1,12 @@
-//! A host put together: engine, front, links, directory and status.
+//! A running host: starts and stops the engine, the frontend, the links, the directory watcher and the status
+//! server.
 
 use crate::counts::{ClassCounts, NodeCounts, ReasonCounts};
-use crate::directory::{Ask, Watcher};
-use crate::dispatcher::{Dispatcher, Final, Input, Origin};
-use crate::engine::{self, Message, Outside};
-use crate::fleet::Limits as SharedLimits;
-use crate::front::{Door, Front};
+use crate::directory::{WatchCommand, Watcher};
+use crate::dispatcher::{CommandId, Dispatcher, FinalAnswer, Input};
+use crate::engine::{self, Message, OutputHandler};
+use crate::fleet::SharedLimits;
+use crate::frontend::{Frontend, InitiatorAccess};
 use crate::links::Links;
 use crate::settings::{HostSettings, HostSettingsErrors};
 use crate::status::{self, Snapshot};
@@ -20,65 +21,65 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A host that could not start.
+/// Why a host could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// An address could not be listened at.
+    /// The host cannot listen at one of its addresses.
     #[error("cannot listen at {address}: {source}")]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// No thread could be had.
+    /// The operating system refuses a thread.
     #[error("cannot start a thread: {0}")]
     Thread(#[from] io::Error),
-    /// No place in the fleet could be taken.
+    /// The host's part of the fleet cannot start.
     #[error(transparent)]
     Fleet(#[from] pearfork_fleet::FleetError),
-    /// The module refuses a setting.
+    /// The scheduler refuses a setting.
     #[error(transparent)]
-    Module(#[from] pearfork::SettingsError),
+    Scheduler(#[from] pearfork::SettingsError),
 }
 
-/// Messages that wait for the engine at the most.
+/// Capacity of the engine's message queue.
 const ENGINE_QUEUE: usize = 8192;
-/// Bytes waiting for a client beyond which nothing more is read from it.
-const UNREAD: usize = 8 << 20;
+/// Number of unsent bytes for a client from which on no further commands are read from it.
+const MAX_UNSENT: usize = 8 << 20;
 
-/// A running host. Dropping it stops it at once; [`Host::stop`] does so in order.
+/// A running host. Dropping it stops it at once; [`Host::stop`] finishes the open commands first.
 pub struct Host {
-    plan: Arc<HostSettings>,
+    settings: Arc<HostSettings>,
     portal: Portal,
     engine: Sender<Message>,
-    asks: Sender<Ask>,
+    watch_commands: Sender<WatchCommand>,
     links: Arc<Links>,
     http: Option<http::Server>,
     draining: Arc<AtomicBool>,
-    drains: Receiver<()>,
-    /// Danger: without HTTP nobody else holds this end, and a channel that is closed reads as a wish to drain: the host
-    /// would stop as soon as it had started.
-    _drain: Sender<()>,
+    drain_requests: Receiver<()>,
+    /// Keeps the channel open. Without HTTP this is its only sender; a closed channel wakes the receiver as a
+    /// drain request does, so that the host would stop as soon as it had started.
+    _drain_sender: Sender<()>,
     fleet: Option<Arc<FleetMember>>,
 }
 
-struct Outward {
-    front: Arc<Front>,
-    asks: Sender<Ask>,
+struct EngineOutputs {
+    frontend: Arc<Frontend>,
+    watch_commands: Sender<WatchCommand>,
 }
 
-impl Outside for Outward {
-    fn answer(&self, origin: Origin, answer: Final) {
-        self.front.answer(origin, answer);
+impl OutputHandler for EngineOutputs {
+    fn answer(&self, id: CommandId, answer: FinalAnswer) {
+        self.frontend.answer(id, answer);
     }
 
     fn watch(&self, on: bool) {
-        let _ = self.asks.try_send(Ask::Watch(on));
+        let _ = self.watch_commands.try_send(WatchCommand::Watch(on));
     }
 
-    fn read_list(&self) {
-        let _ = self.asks.try_send(Ask::ReadList);
+    fn fetch_node_list(&self) {
+        let _ = self.watch_commands.try_send(WatchCommand::FetchNodeList);
     }
 }
 
@@ -87,180 +88,204 @@
 }
 
 impl Host {
-    /// Starts a host by a plan.
+    /// Starts a host with these settings.
     ///
     /// # Errors
-    /// What the machine refuses: addresses, threads.
-    pub fn start(plan: HostSettings) -> Result<Host, HostError> {
-        let plan = Arc::new(plan);
-        let listener = listen(plan.listen)?;
+    /// An address that cannot be listened at, a thread that cannot be started, or settings that the scheduler
+    /// or the fleet refuses.
+    pub fn start(settings: HostSettings) -> Result<Host, HostError> {
+        let settings = Arc::new(settings);
+        let listener = listen(settings.listen)?;
         let address = listener.local_addr()?;
-        let http_listener = plan.http.map(listen).transpose()?;
+        let http_listener = settings.http.map(listen).transpose()?;
         let clock = Clock::start();
         let boot = (clock.now_ms() / 1_000.0) as u32;
-        let seed = plan.seed.unwrap_or_else(|| clock.now_ms().to_bits() ^ u64::from(plan.number) << 48);
-        let mut dispatcher = Dispatcher::new(plan.clone(), seed, boot)?;
-        // Danger: until the fleet's first word a host in a fleet has its floors, and not an even part of each limit.
-        let shared = plan.fleet.as_ref().map(|f| SharedLimits::of(&plan, f, dispatcher.asked()));
+        let seed =
+            settings.seed.unwrap_or_else(|| clock.now_ms().to_bits() ^ u64::from(settings.number) << 48);
+        let mut dispatcher = Dispatcher::new(settings.clone(), seed, boot)?;
+        // Until its first lease a host of a fleet has only its floors. With an even share of each limit it
+        // would exceed the limit together with what the fleet lends to others.
+        let shared = settings.fleet.as_ref().map(|f| SharedLimits::new(&settings, f, dispatcher.demand()));
         if let Some(limits) = &shared {
-            dispatcher.handle(clock.now_ms(), Input::Lent(limits.floors()), &mut Vec::new());
+            dispatcher.handle(clock.now_ms(), Input::LimitShares(limits.floors()), &mut Vec::new());
         }
         let (engine, messages) = bounded(ENGINE_QUEUE);
-        let (asks, asked) = bounded(64);
+        let (watch_commands, watch_receiver) = bounded(64);
         let links = Links::new(
-            plan.number,
-            &plan.node_target,
-            plan.extension,
-            plan.connect_timeout.duration(),
+            settings.number,
+            &settings.node_target,
+            settings.extension,
+            settings.connect_timeout.duration(),
             engine.clone(),
             clock,
         );
-        let front = Arc::new(Front::new(plan.clone(), engine.clone(), clock));
-        let outward = Outward { front: front.clone(), asks: asks.clone() };
+        let frontend = Arc::new(Frontend::new(settings.clone(), engine.clone(), clock));
+        let outputs = EngineOutputs { frontend: frontend.clone(), watch_commands: watch_commands.clone() };
         let engine_links = links.clone();
-        spawn_small("engine", move || engine::run(dispatcher, clock, &messages, &engine_links, &outward))?;
+        spawn_small("engine", move || engine::run(dispatcher, clock, &messages, &engine_links, &outputs))?;
         let watcher = Watcher {
-            host: plan.number,
-            directory: plan.directory,
-            wait: plan.directory_wait.duration(),
+            host: settings.number,
+            directory: settings.directory,
+            wait: settings.directory_wait.duration(),
             links: links.clone(),
             engine: engine.clone(),
         };
-        spawn_small("directory", move || watcher.run(&asked))?;
+        spawn_small("directory", move || watcher.run(&watch_receiver))?;
         let config = PortalConfig {
-            access: Arc::new(Door { plan: plan.clone(), address }),
-            limits: Limits { commands: plan.commands, transfer: plan.max_transfer },
-            sessions: plan.sessions,
-            unread: UNREAD,
+            access: Arc::new(InitiatorAccess { settings: settings.clone(), address }),
+            limits: Limits { commands: settings.commands, transfer: settings.max_transfer },
+            sessions: settings.sessions,
+            unread: MAX_UNSENT,
             first_handle: (boot.wrapping_mul(40_503) >> 8) as u16,
             tap: None,
         };
-        let fleet = match (&plan.fleet, shared) {
+        let fleet = match (&settings.fleet, shared) {
             (Some(own), Some(limits)) => {
                 Some(Arc::new(FleetMember::start(own.clone(), limits.user(engine.clone(), clock))?))
             }
             _ => None,
         };
-        let portal = Portal::start(listener, config, front.clone())?;
+        let portal = Portal::start(listener, config, frontend.clone())?;
         let draining = Arc::new(AtomicBool::new(false));
-        let (drain, drains) = bounded(1);
+        let (drain_sender, drain_requests) = bounded(1);
         let http = match http_listener {
             Some(listener) => {
-                let (plan, engine, front) = (plan.clone(), engine.clone(), front.clone());
-                let (draining, asked, fleet) = (draining.clone(), drain.clone(), fleet.clone());
-                let answer = move |call: http::Call<'_>| match status::order(call) {
-                    Some(status::Order::Drain) => {
+                let (settings, engine, frontend) = (settings.clone(), engine.clone(), frontend.clone());
+                let (draining, drain, fleet) = (draining.clone(), drain_sender.clone(), fleet.clone());
+                let respond = move |call: http::Call<'_>| match status::admin_request(call) {
+                    Some(status::AdminRequest::Drain) => {
                         let again = draining.swap(true, Ordering::SeqCst);
-                        // One word is enough; whoever asks again is told that it is under way.
-                        let _ = asked.try_send(());
-                        let words = if again { "it drains already\n" } else { "it drains\n" };
-                        http::Answer { status: 202, ..http::Answer::ok("text/plain; charset=utf-8", words) }
+                        // The channel holds one request; further ones are answered and otherwise ignored.
+                        let _ = drain.try_send(());
+                        let text = if again { "it drains already\n" } else { "it drains\n" };
+                        http::Answer { status: 202, ..http::Answer::ok("text/plain; charset=utf-8", text) }
                     }
                     None => {
                         let draining = draining.load(Ordering::SeqCst);
-                        let snapshot = engine::look(&engine, Snapshot::of);
+                        let snapshot = engine::inspect(&engine, Snapshot::of);
                         let fleet = fleet.as_ref().map(|f| f.view());
-                        status::answer(call, &plan, snapshot, front.sessions(), draining, fleet.as_ref())
+                        status::respond(
+                            call,
+                            &settings,
+                            snapshot,
+                            frontend.sessions(),
+                            draining,
+                            fleet.as_ref(),
+                        )
                     }
                 };
-                Some(http::Server::start_with(listener, answer)?)
+                Some(http::Server::start_with(listener, respond)?)
             }
             None => None,
         };
-        tracing::info!(%address, number = plan.number, volumes = plan.volumes.len(), settings = plan.provenance.fingerprint(), "host listens");
-        Ok(Host { plan, portal, engine, asks, links, http, draining, drains, _drain: drain, fleet })
+        tracing::info!(%address, number = settings.number, volumes = settings.volumes.len(), settings = settings.provenance.fingerprint(), "host started");
+        Ok(Host {
+            settings,
+            portal,
+            engine,
+            watch_commands,
+            links,
+            http,
+            draining,
+            drain_requests,
+            _drain_sender: drain_sender,
+            fleet,
+        })
     }
 
-    /// Where iSCSI clients come.
+    /// The address that iSCSI clients connect to.
     pub fn address(&self) -> SocketAddr {
         self.portal.address()
     }
 
-    /// Where health, metrics and status are.
+    /// The address of health, metrics and status over HTTP.
     pub fn http_address(&self) -> Option<SocketAddr> {
         self.http.as_ref().map(http::Server::address)
     }
 
-    /// What it runs by.
+    /// The settings that the host runs with.
     pub fn settings(&self) -> &HostSettings {
-        &self.plan
+        &self.settings
     }
 
-    /// Takes the matching rules of another plan for commands that come from now on; what is in flight keeps its terms.
+    /// Uses the matching rules of other settings for commands from now on; commands in flight keep their
+    /// class and plan.
     ///
     /// # Errors
-    /// Why the old rules stay.
+    /// The new settings differ in classes or plans; the old rules stay in use.
     pub fn update_matching(&self, new: &HostSettings) -> Result<(), HostSettingsErrors> {
-        let matching = self.plan.compatible_matching(new)?;
+        let matching = self.settings.compatible_matching(new)?;
         let _ = self.engine.send(Message::Input(Input::Matching(matching)));
         Ok(())
     }
 
-    /// Rings once when somebody asks over HTTP that the host drain; its owner then calls [`Host::stop`].
+    /// Receives a message once a drain request arrives over HTTP; the host's owner then calls [`Host::stop`].
     pub fn drain_requests(&self) -> &Receiver<()> {
-        &self.drains
+        &self.drain_requests
     }
 
-    /// Counts by class, in the order of the settings; `None` where the engine does not answer.
+    /// Counters by class, in the order of the settings; `None` if the engine does not answer in time.
     pub fn class_counts(&self) -> Option<Vec<ClassCounts>> {
-        engine::look(&self.engine, |d, _| d.class_counts().to_vec())
+        engine::inspect(&self.engine, |d, _| d.class_counts().to_vec())
     }
 
-    /// The same, with refusals and failures by class, volume and the module's reason, of one moment.
+    /// Counters by class, and refusals and failures by class, volume and the scheduler's reason, both of the
+    /// same moment.
     pub fn counts(&self) -> Option<(Vec<ClassCounts>, ReasonCounts)> {
-        engine::look(&self.engine, |d, _| (d.class_counts().to_vec(), d.reason_counts().clone()))
+        engine::inspect(&self.engine, |d, _| (d.class_counts().to_vec(), d.reason_counts().clone()))
     }
 
-    /// Counts by node.
+    /// Counters by node.
     pub fn node_counts(&self) -> Option<BTreeMap<u32, NodeCounts>> {
-        engine::look(&self.engine, |d, _| d.node_counts().clone())
+        engine::inspect(&self.engine, |d, _| d.node_counts().clone())
     }
 
-    /// Lets the engine stand still, as a suspended machine does: a trouble for tests and scripted days.
+    /// Blocks the engine for `span`, as if the machine were suspended: a fault for tests and scenarios.
     pub fn stall_engine(&self, span: Duration) {
-        let _ = self.engine.send(Message::StandStill(span));
+        let _ = self.engine.send(Message::Stall(span));
     }
 
-    /// Stops in order: takes nothing new, answers what was taken, closes. False where the time ran out first.
+    /// Shuts down: accepts no new commands, answers the open ones and closes the connections. False if the
+    /// time-out `transport.drain` ran out before every command was answered.
     pub fn stop(&self) -> bool {
         self.draining.store(true, Ordering::SeqCst);
         self.portal.stop_accepting();
         self.portal.stop_reading();
         self.portal.sessions().iter().for_each(|s| s.request_logout(1));
-        let until = Instant::now() + self.plan.drain.duration();
+        let deadline = Instant::now() + self.settings.drain.duration();
         let idle = loop {
-            if engine::look(&self.engine, |d, _| d.open_commands()) == Some(0) {
+            if engine::inspect(&self.engine, |d, _| d.open_commands()) == Some(0) {
                 break true;
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 break false;
             }
             std::thread::sleep(Duration::from_millis(20));
         };
-        // Answers given last are still on their way to slow clients.
-        let sent = || self.portal.sessions().iter().all(|s| !s.has_unsent());
-        while !sent() && Instant::now() < until {
+        // The last responses may still be queued for slow clients.
+        let all_sent = || self.portal.sessions().iter().all(|s| !s.has_unsent());
+        while !all_sent() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
         self.portal.kill();
         self.links.close_all();
         if let Some(fleet) = &self.fleet {
-            // Nothing goes out any more: what this host held of the fleet's budgets is of use to the others at once.
+            // This host sends nothing any more, so that the other hosts may use its lease at once.
             fleet.leave();
         }
         self.kill();
         idle
     }
 
-    /// What this host knows of its fleet, where it is in one.
+    /// The state of the fleet as this host sees it; `None` outside a fleet.
     pub fn fleet(&self) -> Option<pearfork_fleet::FleetView> {
         self.fleet.as_ref().map(|f| f.view())
     }
 
-    /// Stops at once, as a killed process does: nothing more is said to anybody.
+    /// Stops at once, as a killed process does: open commands get no answer.
     pub fn kill(&self) {
         let _ = self.engine.try_send(Message::Stop);
-        let _ = self.asks.try_send(Ask::Stop);
+        let _ = self.watch_commands.try_send(WatchCommand::Stop);
         self.portal.kill();
         self.links.close_all();
         if let Some(fleet) = &self.fleet {
--- a/crates/host/src/join.rs
+++ b/crates/host/src/join.rs
@@ -1,60 +1,64 @@
-//! One honest answer to a command whose parts ended differently. No I/O, no clock.
+//! Combines the outcomes of a command's parts into one final answer. No I/O, no clock.
 //!
-//! A command that crosses extents becomes several requests of the module. Each of them gets its own final answer
-//! there; the client gets one. It waits for the last part: an earlier answer could promise nothing about the rest.
+//! A command that crosses extents becomes several requests of the scheduler, each with a final answer of its
+//! own; the client gets one. It is given once the last part has ended: an earlier answer would say nothing
+//! about the parts that are still open.
 
 use pearfork::Effect;
 
 /// How a part ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PartEnd<T> {
-    /// Served, with what the node gave.
+pub enum PartOutcome<T> {
+    /// Served, with the node's response.
     Served(T),
-    /// Refused: a retry does no harm, after so many milliseconds.
+    /// Refused without effect: the client may safely retry after this many milliseconds.
     Refused(f64),
-    /// Failed: nothing is promised.
+    /// Failed: it may or may not have taken effect.
     Failed,
 }
 
-/// The parts of one command.
+/// Collects the outcomes of one command's parts.
 #[derive(Debug)]
 pub struct Join<T> {
     effect: Effect,
-    parts: Vec<Option<PartEnd<T>>>,
+    parts: Vec<Option<PartOutcome<T>>>,
     open: usize,
 }
 
 impl<T> Join<T> {
-    /// A command of so many parts, of a class with an effect. At least one part.
+    /// Starts a command with `parts` parts, at least one, of a class with this effect.
     pub fn new(parts: usize, effect: Effect) -> Self {
         let parts = parts.max(1);
         Join { effect, parts: (0..parts).map(|_| None).collect(), open: parts }
     }
 
-    /// Notes a part's end; the command's, once the last one has ended. Only a part's first end counts.
-    pub fn end(&mut self, part: usize, end: PartEnd<T>) -> Option<PartEnd<Vec<T>>> {
+    /// Records the outcome of a part; returns the outcome of the command with the last one. Further outcomes
+    /// of the same part are ignored.
+    pub fn record(&mut self, part: usize, outcome: PartOutcome<T>) -> Option<PartOutcome<Vec<T>>> {
         let slot = self.parts.get_mut(part).filter(|p| p.is_none())?;
-        *slot = Some(end);
+        *slot = Some(outcome);
         self.open -= 1;
         if self.open > 0 {
             return None;
         }
-        let ends: Vec<PartEnd<T>> = std::mem::take(&mut self.parts).into_iter().flatten().collect();
-        let served = ends.iter().any(|e| matches!(e, PartEnd::Served(_)));
-        if ends.iter().any(|e| matches!(e, PartEnd::Failed)) {
-            return Some(PartEnd::Failed);
+        let outcomes: Vec<PartOutcome<T>> = std::mem::take(&mut self.parts).into_iter().flatten().collect();
+        let served = outcomes.iter().any(|e| matches!(e, PartOutcome::Served(_)));
+        if outcomes.iter().any(|e| matches!(e, PartOutcome::Failed)) {
+            return Some(PartOutcome::Failed);
         }
-        let wait = ends.iter().filter_map(|e| if let PartEnd::Refused(ms) = e { Some(*ms) } else { None });
+        let wait =
+            outcomes.iter().filter_map(|e| if let PartOutcome::Refused(ms) = e { Some(*ms) } else { None });
         if let Some(wait) = wait.reduce(f64::max) {
-            // Danger: "refused" promises that a retry does no harm. The part that was served would run again
-            // under a new key, which no node takes for a repeat.
+            // "Refused" promises that a retry is safe. A retry would run the part that was served again under
+            // a new repeat key, which no node recognizes as a repeat: the effect would happen twice.
             return Some(match (served, self.effect) {
-                (true, Effect::Keyed | Effect::Unsafe) => PartEnd::Failed,
-                _ => PartEnd::Refused(wait),
+                (true, Effect::Keyed | Effect::Unsafe) => PartOutcome::Failed,
+                _ => PartOutcome::Refused(wait),
             });
         }
-        let all = ends.into_iter().filter_map(|e| if let PartEnd::Served(t) = e { Some(t) } else { None });
-        Some(PartEnd::Served(all.collect()))
+        let all =
+            outcomes.into_iter().filter_map(|e| if let PartOutcome::Served(t) = e { Some(t) } else { None });
+        Some(PartOutcome::Served(all.collect()))
     }
 }
 
@@ -62,20 +66,24 @@
 mod tests {
     use super::*;
 
-    fn joined(effect: Effect, ends: &[PartEnd<u8>]) -> PartEnd<Vec<u8>> {
-        let mut join = Join::new(ends.len(), effect);
+    fn joined(effect: Effect, outcomes: &[PartOutcome<u8>]) -> PartOutcome<Vec<u8>> {
+        let mut join = Join::new(outcomes.len(), effect);
         let mut last = None;
-        for (i, e) in ends.iter().enumerate() {
-            assert_eq!(last, None, "answered before its last part");
-            last = join.end(i, e.clone());
-            assert_eq!(join.end(i, PartEnd::Failed), None, "a part ends once");
+        for (i, e) in outcomes.iter().enumerate() {
+            assert_eq!(last, None, "answered before its last part ended");
+            last = join.record(i, e.clone());
+            assert_eq!(
+                join.record(i, PartOutcome::Failed),
+                None,
+                "a second outcome of one part must be ignored"
+            );
         }
-        last.expect("an answer")
+        last.expect("no answer after the last part")
     }
 
     #[test]
-    fn one_answer_that_promises_no_more_than_all_parts_allow() {
-        use PartEnd::{Failed, Refused, Served};
+    fn the_answer_promises_no_more_than_every_part_allows() {
+        use PartOutcome::{Failed, Refused, Served};
         let all = [Served(1), Refused(5.0), Refused(9.0), Failed];
         for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
             for a in &all {
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,17 +1,18 @@
 //! A running host around [`pearfork::Scheduler`].
 //!
-//! Read it in this order: [`settings`] (a file becomes a checked value), [`volumes`] (blocks to extents and
-//! shards), [`dispatcher`] (drives the module; no I/O, no clock), [`counts`] (what it counts), [`join`] (parts of a command to one answer),
-//! `engine` (the one thread that owns the dispatcher), `links` (sessions to storage nodes), `front` (iSCSI
-//! clients), `directory` (the node list), `fleet` (parts of the fleet's limits), `status` (HTTP). Whatever may be decided about a request is decided by
-//! the module; this crate tells it what happened and carries out what it says.
+//! Suggested reading order: [`settings`] (a file becomes validated settings), [`volumes`] (blocks to extents
+//! and shards), [`dispatcher`] (drives the scheduler; no I/O, no clock), [`counts`] (its counters), [`join`]
+//! (outcomes of a command's parts to one final answer), `engine` (the one thread that owns the dispatcher),
+//! `links` (sessions to storage nodes), `frontend` (iSCSI clients), `directory` (the node list), `fleet`
+//! (this host's shares of the fleet's limits), `status` (HTTP). The scheduler makes every decision about a
+//! request; this crate reports events to it and carries out its actions.
 
 pub mod counts;
 mod directory;
 pub mod dispatcher;
 mod engine;
 mod fleet;
-mod front;
+mod frontend;
 mod host;
 pub mod join;
 mod links;
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -1,9 +1,9 @@
-//! Sessions to storage nodes, one for each, opened when the module first sends there.
+//! Sessions to storage nodes, one per node, opened when the scheduler first sends an attempt there.
 //!
-//! A link neither repeats nor waits of its own accord: what can't be sent is told to the module as never sent,
-//! what was sent and lost as lost, and the next attempt that the module sends opens the connection anew.
+//! A link neither retries nor delays an attempt on its own: an attempt that cannot be sent is reported as not
+//! sent, one that was sent and lost its connection as reset, and the next attempt to that node reconnects.
 
-use crate::dispatcher::{AttemptId, Ended, Order, Served};
+use crate::dispatcher::{AttemptEnd, AttemptId, Completion, OutgoingAttempt};
 use crate::engine::Message;
 use crossbeam_channel::Sender;
 use pearfork_iscsi::{Command, CommandDone, InitiatorConfig};
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An attempt as a connection knows it.
+/// The token of an attempt at its connection.
 pub(crate) struct Sent {
     id: AttemptId,
     wanted: Arc<AtomicBool>,
@@ -25,19 +25,18 @@
 
 impl Token for Sent {
     fn is_wanted(&self) -> bool {
-        self.wanted.load(Ordering::SeqCst) && !over(self.not_after)
+        self.wanted.load(Ordering::SeqCst) && !has_passed(self.not_after)
     }
 }
 
-/// Whether a moment has come.
-fn over(not_after: Option<Instant>) -> bool {
+fn has_passed(not_after: Option<Instant>) -> bool {
     not_after.is_some_and(|at| Instant::now() >= at)
 }
 
 enum State {
     Closed,
-    /// A thread connects; these wait for it.
-    Opening(Vec<Order>),
+    /// A thread is connecting; these attempts are sent once it has.
+    Opening(Vec<OutgoingAttempt>),
     Open(Arc<Connection<Sent>>),
 }
 
@@ -45,8 +44,8 @@
     state: Mutex<State>,
 }
 
-/// Attempts that wait for a connection under way; more are told as never sent.
-const MOST_WAITING: usize = 256;
+/// Maximum number of attempts that wait while a connection opens; further ones are reported as not sent.
+const MAX_WAITING: usize = 256;
 
 /// All links of a host.
 pub(crate) struct Links {
@@ -81,12 +80,12 @@
         })
     }
 
-    /// Where nodes are, as the node list has it.
+    /// Updates the addresses of nodes from the node list.
     pub(crate) fn set_addresses(&self, addresses: impl Iterator<Item = (u32, SocketAddr)>) {
         let mut known = lock(&self.addresses);
         for (node, address) in addresses {
             if known.insert(node, address).is_some_and(|old| old != address) {
-                // The node came back elsewhere: the old connection leads nowhere.
+                // The node restarted at another address, so that the old connection no longer reaches it.
                 if let Some(link) = lock(&self.links).get(&node) {
                     if let State::Open(c) = &*lock(&link.state) {
                         c.close();
@@ -97,27 +96,27 @@
     }
 
     /// Sends an attempt; never blocks.
-    pub(crate) fn send(self: &Arc<Self>, node: u32, order: Order) {
+    pub(crate) fn send(self: &Arc<Self>, node: u32, attempt: OutgoingAttempt) {
         let link = lock(&self.links).entry(node).or_insert_with(|| Arc::new(Link::new())).clone();
         let mut state = lock(&link.state);
         match &mut *state {
             State::Open(c) if c.is_open() => {
                 let c = c.clone();
                 drop(state);
-                self.submit(&c, order);
+                self.submit(&c, attempt);
             }
-            State::Opening(waiting) if waiting.len() < MOST_WAITING => waiting.push(order),
+            State::Opening(waiting) if waiting.len() < MAX_WAITING => waiting.push(attempt),
             State::Opening(_) => {
                 drop(state);
-                self.never_sent(order.attempt);
+                self.connect_failed(attempt.id);
             }
             State::Closed | State::Open(_) => {
-                *state = State::Opening(vec![order]);
+                *state = State::Opening(vec![attempt]);
                 drop(state);
                 let (links, opening) = (self.clone(), link.clone());
                 let spawned = spawn_small("node-connect", move || links.open(node, &opening));
                 if spawned.is_err() {
-                    self.give_up(&link);
+                    self.close_unopened(&link);
                 }
             }
         }
@@ -136,75 +135,78 @@
             let engine = self.engine.clone();
             let events = move |event| on_event(&engine, node, event);
             Connection::open(address, config, self.connect_timeout, TapRef::default(), events)
-                .inspect_err(|e| tracing::debug!(node, error = %e, "no connection"))
+                .inspect_err(|e| tracing::debug!(node, error = %e, "connecting to the node failed"))
                 .ok()
         });
-        let Some(connection) = opened else { return self.give_up(link) };
+        let Some(connection) = opened else { return self.close_unopened(link) };
         if self.extension && !connection.speaks_extension() {
-            // Danger: a node that is told no key can't drop a repeat, and the module counts on it that it does.
+            // Without the extension the node receives no repeat keys and cannot drop repeats, which the
+            // scheduler relies on when it retries keyed requests.
             tracing::error!(
                 node,
-                "the node does not speak the extension that the settings offer; it gets no work"
+                "the node does not support the protocol extension that transport.extension requires; it receives no requests"
             );
             connection.close();
-            return self.give_up(link);
+            return self.close_unopened(link);
         }
         let waiting = match std::mem::replace(&mut *lock(&link.state), State::Open(connection.clone())) {
             State::Opening(waiting) => waiting,
             State::Closed | State::Open(_) => Vec::new(),
         };
-        for order in waiting {
-            self.submit(&connection, order);
+        for attempt in waiting {
+            self.submit(&connection, attempt);
         }
     }
 
-    /// No connection: all that waited for it was never sent.
-    fn give_up(&self, link: &Link) {
+    /// Closes a link that could not connect: every attempt that waited for it is reported as not sent.
+    fn close_unopened(&self, link: &Link) {
         let state = std::mem::replace(&mut *lock(&link.state), State::Closed);
         if let State::Opening(waiting) = state {
-            waiting.into_iter().for_each(|o| self.never_sent(o.attempt));
+            waiting.into_iter().for_each(|a| self.connect_failed(a.id));
         }
     }
 
-    fn submit(&self, connection: &Connection<Sent>, order: Order) {
-        if !order.wanted.load(Ordering::SeqCst) {
+    fn submit(&self, connection: &Connection<Sent>, attempt: OutgoingAttempt) {
+        if !attempt.wanted.load(Ordering::SeqCst) {
             return;
         }
-        let not_after = order.not_after_ms.is_finite().then(|| self.clock.instant(order.not_after_ms));
-        if over(not_after) {
-            // Danger: a host that stood still between deciding and sending would send by a part that is another's now.
-            return self.not_sent(order.attempt, Ended::Moot);
+        let not_after = attempt.not_after_ms.is_finite().then(|| self.clock.instant(attempt.not_after_ms));
+        if has_passed(not_after) {
+            // A host that was suspended between the decision and this point would send on a share of the
+            // volume's limit that may by now be lent to another host.
+            return self.report_unsent(attempt.id, AttemptEnd::NotSent);
         }
-        let read_len = order.media.data_in(order.block_len) as u32;
+        let read_len = attempt.media.data_in(attempt.block_len) as u32;
         let command = Command {
-            lun: lun_field(order.volume.0 as u16),
-            cdb: order.media.to_cdb(),
+            lun: lun_field(attempt.volume.0 as u16),
+            cdb: attempt.media.to_cdb(),
             read_len,
-            data: order.data,
-            ext: Some(order.tag),
+            data: attempt.data,
+            ext: Some(attempt.tag),
         };
-        let sent = Sent { id: order.attempt, wanted: order.wanted, not_after, read_len: read_len as usize };
+        let sent = Sent { id: attempt.id, wanted: attempt.wanted, not_after, read_len: read_len as usize };
         if let Err(sent) = connection.submit(sent, command) {
-            self.never_sent(sent.id);
+            self.connect_failed(sent.id);
         }
     }
 
-    /// Told by way of the channel as all outcomes. The engine itself may be the caller, and must not wait for
-    /// itself: a full channel is left to a thread.
-    fn never_sent(&self, id: AttemptId) {
-        self.not_sent(id, Ended::ConnectFailed);
+    fn connect_failed(&self, id: AttemptId) {
+        self.report_unsent(id, AttemptEnd::ConnectFailed);
     }
 
-    fn not_sent(&self, id: AttemptId, ended: Ended) {
-        let message = Message::ended(id, ended, None);
+    /// Reports an attempt that was not sent through the engine's channel, like every outcome. The engine
+    /// itself may be the caller and must not block on its own channel: if the channel is full, a thread waits
+    /// instead.
+    fn report_unsent(&self, id: AttemptId, outcome: AttemptEnd) {
+        let message = Message::attempt_ended(id, outcome, None);
         if let Err(crossbeam_channel::TrySendError::Full(message)) = self.engine.try_send(message) {
             let engine = self.engine.clone();
-            // Without a thread the attempt's own time-out ends it.
+            // If no thread can be started, the attempt's own time-out ends it.
             let _ = spawn_small("outcome", move || drop(engine.send(message)));
         }
     }
 
-    /// Tells a node that an attempt is no longer waited for.
+    /// Aborts an attempt at its node: nobody waits for it any more.
     pub(crate) fn abort(&self, node: u32, id: AttemptId) {
         let Some(link) = lock(&self.links).get(&node).cloned() else { return };
         let mut state = lock(&link.state);
@@ -214,12 +216,12 @@
                 drop(state);
                 c.abort(|t| t.id == id);
             }
-            State::Opening(waiting) => waiting.retain(|o| o.attempt != id),
+            State::Opening(waiting) => waiting.retain(|a| a.id != id),
             State::Closed => {}
         }
     }
 
-    /// Closes the connection to a node where nothing is out on it.
+    /// Closes the connection to a node if nothing is in flight on it.
     pub(crate) fn close_idle(&self, node: u32) {
         let Some(link) = lock(&self.links).get(&node).cloned() else { return };
         if let State::Open(c) = &*lock(&link.state) {
@@ -229,7 +231,7 @@
         };
     }
 
-    /// Drops all connections.
+    /// Closes all connections.
     pub(crate) fn close_all(&self) {
         for link in lock(&self.links).values() {
             if let State::Open(c) = &*lock(&link.state) {
@@ -246,37 +248,41 @@
 }
 
 fn on_event(engine: &Sender<Message>, node: u32, event: ConnectionEvent<Sent>) {
-    let tell = |id, ended, report| drop(engine.send(Message::ended(id, ended, report)));
+    let report_end = |id, outcome, report| drop(engine.send(Message::attempt_ended(id, outcome, report)));
     match event {
         ConnectionEvent::Done(sent, done) => {
             let report = done.report;
-            tell(sent.id, verdict(*done, sent.read_len), report);
+            report_end(sent.id, outcome_of(*done, sent.read_len), report);
         }
-        // The abort was ours and its outcome is known already.
+        // This host requested the abort and has already counted the attempt as ended.
         ConnectionEvent::Aborted(_) => {}
-        ConnectionEvent::LogoutRequested => tracing::debug!(node, "the node asks for a logout"),
+        ConnectionEvent::LogoutRequested => tracing::debug!(node, "the node requested a logout"),
         ConnectionEvent::Closed(why, sent, unsent) => {
-            tracing::debug!(node, why, lost = sent.len(), "connection over");
-            sent.into_iter().for_each(|s| tell(s.id, Ended::Reset, None));
-            unsent.into_iter().filter(Token::is_wanted).for_each(|s| tell(s.id, Ended::ConnectFailed, None));
+            tracing::debug!(node, why, lost = sent.len(), "connection to the node closed");
+            sent.into_iter().for_each(|s| report_end(s.id, AttemptEnd::Reset, None));
+            unsent
+                .into_iter()
+                .filter(Token::is_wanted)
+                .for_each(|s| report_end(s.id, AttemptEnd::ConnectFailed, None));
         }
     }
 }
 
-/// What a SCSI status of a node says of an attempt.
-fn verdict(done: CommandDone, read_len: usize) -> Ended {
+/// Maps the SCSI status from a node to the outcome of the attempt.
+fn outcome_of(done: CommandDone, read_len: usize) -> AttemptEnd {
     match done.status {
-        // Danger: fewer bytes than asked for, with GOOD, would be passed on as a whole answer.
-        status::GOOD if done.data.len() == read_len => Ended::Served(Served::Good(done.data)),
+        // GOOD with fewer bytes than requested is an error; the client would take the short data for the
+        // whole.
+        status::GOOD if done.data.len() == read_len => AttemptEnd::Served(Completion::Good(done.data)),
         // SAM-5: with BUSY and TASK SET FULL the command never entered the task set.
-        status::BUSY | status::TASK_SET_FULL => Ended::Full,
+        status::BUSY | status::TASK_SET_FULL => AttemptEnd::Rejected,
         status::CHECK_CONDITION => match Sense::key_and_code(&done.sense) {
-            // A definite answer to what the client asked; another attempt would hear it again.
+            // A definite response to the client's request; a retry would get the same one.
             Some((key, _)) if key == SenseKey::Miscompare as u8 || key == SenseKey::IllegalRequest as u8 => {
-                Ended::Served(Served::Check(done.sense.to_vec()))
+                AttemptEnd::Served(Completion::CheckCondition(done.sense.to_vec()))
             }
-            _ => Ended::Error,
+            _ => AttemptEnd::Error,
         },
-        _ => Ended::Error,
+        _ => AttemptEnd::Error,
     }
 }
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -1,4 +1,4 @@
-//! Health, metrics and the state of nodes and volumes, for people and collectors, over HTTP.
+//! Health, metrics and the state of nodes and volumes over HTTP, for operators and metrics collectors.
 
 use crate::counts::{ClassCounts, NodeCounts, ReasonCounts, ReasonKey};
 use crate::dispatcher::Dispatcher;
@@ -11,14 +11,14 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Counts at one moment.
+/// The counters and the state of the dispatcher at one moment.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Snapshot {
     classes: Vec<ClassCounts>,
-    /// For each class, answer times at 50, 90, 99 and 99.9 percent, microseconds.
-    times_us: Vec<[u64; 4]>,
+    /// Latencies of each class at the percentiles 50, 90, 99 and 99.9, in microseconds.
+    latencies_us: Vec<[u64; 4]>,
     nodes: BTreeMap<u32, NodeCounts>,
-    listed: BTreeMap<u32, NodeEntry>,
+    node_list: BTreeMap<u32, NodeEntry>,
     open: usize,
     reasons: ReasonCounts,
     waiting: BTreeMap<Reason, u64>,
@@ -28,24 +28,28 @@
     pub(crate) fn of(d: &Dispatcher, now: f64) -> Snapshot {
         Snapshot {
             classes: d.class_counts().to_vec(),
-            times_us: d
-                .times()
+            latencies_us: d
+                .latencies()
                 .iter()
-                .map(|t| [0.5, 0.9, 0.99, 0.999].map(|q| t.value_at_quantile(q)))
+                .map(|l| [0.5, 0.9, 0.99, 0.999].map(|q| l.value_at_quantile(q)))
                 .collect(),
             nodes: d.node_counts().clone(),
-            listed: d.listed().clone(),
+            node_list: d.node_list().clone(),
             open: d.open_commands(),
             reasons: d.reason_counts().clone(),
             waiting: d.waiting(now),
         }
     }
 
-    /// Refusals and failures by reason, apart by what `of` tells of them: one pass, however many volumes there are.
-    fn reasons_by<K: Ord>(&self, of: impl Fn(&ReasonKey) -> K) -> BTreeMap<K, BTreeMap<&'static str, u64>> {
+    /// Refusals and failures by reason, grouped by `group`, in one pass over the counts for any number of
+    /// volumes.
+    fn reasons_by<K: Ord>(
+        &self,
+        group: impl Fn(&ReasonKey) -> K,
+    ) -> BTreeMap<K, BTreeMap<&'static str, u64>> {
         let mut out: BTreeMap<K, BTreeMap<&'static str, u64>> = BTreeMap::new();
         for (key, n) in self.reasons.iter() {
-            *out.entry(of(&key)).or_default().entry(key.reason.label()).or_insert(0) += n;
+            *out.entry(group(&key)).or_default().entry(key.reason.label()).or_insert(0) += n;
         }
         out
     }
@@ -77,23 +81,24 @@
     failed: BTreeMap<&'static str, u64>,
 }
 
-/// What a host can be asked to do over HTTP.
+/// An operation on the host that is requested over HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Order {
-    /// To stop in order.
+pub(crate) enum AdminRequest {
+    /// Shut down once the open commands are answered.
     Drain,
 }
 
-/// The order that a call gives, if it gives one.
-pub(crate) fn order(call: Call<'_>) -> Option<Order> {
+/// The administrative request of a call, if it is one.
+pub(crate) fn admin_request(call: Call<'_>) -> Option<AdminRequest> {
     let path = call.path.split('?').next().unwrap_or(call.path);
-    (call.method == Method::Post && path == "/drain").then_some(Order::Drain)
+    (call.method == Method::Post && path == "/drain").then_some(AdminRequest::Drain)
 }
 
-/// Answers a call that gives no order; `snapshot` is `None` where the engine did not answer in time.
-pub(crate) fn answer(
+/// Responds to a call that is no administrative request; `snapshot` is `None` if the engine did not answer in
+/// time.
+pub(crate) fn respond(
     call: Call<'_>,
-    plan: &HostSettings,
+    settings: &HostSettings,
     snapshot: Option<Snapshot>,
     sessions: usize,
     draining: bool,
@@ -101,19 +106,24 @@
 ) -> Answer {
     let path = call.path.split('?').next().unwrap_or(call.path);
     if call.method == Method::Post {
-        return Answer::error(404, "there is /drain to POST to");
+        return Answer::error(404, "no such resource for POST; the only one is /drain");
     }
     if path == "/fleet" {
-        // Asked even where the engine stands still.
-        return fleet.map_or(Answer::error(404, "this host is in no fleet"), json);
+        // The fleet's state does not depend on the engine, which may be blocked.
+        return fleet.map_or(Answer::error(404, "this host is not in a fleet"), json);
     }
-    let Some(snapshot) = snapshot else { return Answer::error(503, "the engine does not answer") };
+    let Some(snapshot) = snapshot else {
+        return Answer::error(503, "the engine is not responding");
+    };
     match path {
         "/health" => health(&snapshot, sessions, draining),
-        "/metrics" => Answer::ok("text/plain; version=0.0.4", metrics(plan, &snapshot, sessions, fleet)),
+        "/metrics" => Answer::ok("text/plain; version=0.0.4", metrics(settings, &snapshot, sessions, fleet)),
         "/nodes" => json(&nodes(&snapshot)),
-        "/volumes" => json(&volumes(plan, &snapshot)),
-        _ => Answer::error(404, "there are /health, /metrics, /nodes, /volumes and /fleet"),
+        "/volumes" => json(&volumes(settings, &snapshot)),
+        _ => Answer::error(
+            404,
+            "no such resource; available are /health, /metrics, /nodes, /volumes and /fleet",
+        ),
     }
 }
 
@@ -125,10 +135,10 @@
     if draining {
         let open = snapshot.open;
         Answer::error(503, &format!("draining, {open} commands open, {sessions} sessions"))
-    } else if snapshot.listed.values().any(|n| n.state == NodeState::Ready) {
+    } else if snapshot.node_list.values().any(|n| n.state == NodeState::Ready) {
         Answer::ok("text/plain; charset=utf-8", "ok\n")
     } else {
-        Answer::error(503, "no node of the list is ready")
+        Answer::error(503, "no node in the node list is ready")
     }
 }
 
@@ -153,68 +163,78 @@
             reset: c.reset,
         }
     };
-    snapshot.listed.values().map(status).collect()
+    snapshot.node_list.values().map(status).collect()
 }
 
-fn volumes<'a>(plan: &'a HostSettings, s: &Snapshot) -> Vec<VolumeStatus<'a>> {
+fn volumes<'a>(settings: &'a HostSettings, s: &Snapshot) -> Vec<VolumeStatus<'a>> {
     let mut reasons = s.reasons_by(|k| (k.volume, k.failed));
     let status = |v| {
         let v: &'a crate::volumes::Volume = v;
-        let mut of = |failed| reasons.remove(&(v.id, failed)).unwrap_or_default();
+        let mut by_reason = |failed| reasons.remove(&(v.id, failed)).unwrap_or_default();
         let bytes = v.unit.blocks * u64::from(v.unit.block_len);
         VolumeStatus {
             name: &v.name,
             target: &v.target,
             lun: v.lun,
             bytes,
-            plan: &plan.plan_names[usize::from(v.plan)],
-            refused: of(false),
-            failed: of(true),
+            plan: &settings.plan_names[usize::from(v.plan)],
+            refused: by_reason(false),
+            failed: by_reason(true),
         }
     };
-    plan.volumes.iter().map(status).collect()
+    settings.volumes.iter().map(status).collect()
 }
 
-/// A family of metrics: name, kind, help, and a value for each set of labels.
+/// Writes a family of metrics: name, type, help text, and a value for each set of labels.
 type Family<'a> = dyn FnMut(&str, &str, &str, Vec<(String, f64)>) + 'a;
 
 fn fleet_metrics(fleet: &FleetView, family: &mut Family<'_>) {
     let one = |value: f64| vec![(String::new(), value)];
     let holder = &fleet.holder;
-    let of = |f: fn(&HeldBudgetView) -> f64| -> Vec<(String, f64)> {
+    let by_budget = |f: fn(&HeldBudgetView) -> f64| -> Vec<(String, f64)> {
         holder.budgets.iter().map(|b| (format!("{{budget=\"{}\"}}", b.budget), f(b))).collect()
     };
     family(
         "fleet_part",
         "gauge",
-        "Part of a budget's whole that this host may use.",
-        of(|b| b.floor + b.leased),
+        "Fraction of a budget that this host may use.",
+        by_budget(|b| b.floor + b.leased),
+    );
+    family(
+        "fleet_demand",
+        "gauge",
+        "Fraction of a budget that clients request at this host.",
+        by_budget(|b| b.demand),
     );
-    family("fleet_demand", "gauge", "Part of a budget's whole that clients ask for here.", of(|b| b.demand));
     let left = holder.lease_remaining_ms.unwrap_or(0.0).max(0.0) / 1_000.0;
-    family("fleet_lease_seconds", "gauge", "Time that the lease still holds.", one(left));
-    family("fleet_asks_total", "counter", "Asks of the ledger.", one(holder.requests_sent as f64));
-    family("fleet_leases_total", "counter", "Answers with a lease.", one(holder.leases_received as f64));
-    let named = f64::from(u8::from(!holder.superseded));
-    family("fleet_named", "gauge", "0 where another process has this host's number.", one(named));
+    family("fleet_lease_seconds", "gauge", "Remaining time of the lease.", one(left));
+    family("fleet_asks_total", "counter", "Lease requests to the ledger.", one(holder.requests_sent as f64));
+    family("fleet_leases_total", "counter", "Responses with a lease.", one(holder.leases_received as f64));
+    let is_current = f64::from(u8::from(!holder.superseded));
+    family("fleet_named", "gauge", "0 if another process has this host's number.", one(is_current));
     let up = |l: &LinkView| (format!("{{voter=\"{}\"}}", l.voter), f64::from(u8::from(l.is_up)));
-    family("fleet_link_up", "gauge", "Links to voters.", fleet.links.iter().map(up).collect());
+    family(
+        "fleet_link_up",
+        "gauge",
+        "1 if the link to the voter is up.",
+        fleet.links.iter().map(up).collect(),
+    );
     if let Some(v) = &fleet.voter {
         let votes = f64::from(u8::from(v.store_error.is_none()));
-        family("fleet_votes", "gauge", "0 where this voter's disk keeps it from voting.", one(votes));
+        family("fleet_votes", "gauge", "0 if a disk error keeps this voter from voting.", one(votes));
         family(
             "fleet_lends",
             "gauge",
-            "1 where this voter leads and lends.",
+            "1 if this voter is the leader and lends.",
             one(f64::from(u8::from(v.grants_leases))),
         );
-        family("fleet_term", "counter", "Terms of leaders.", one(v.term as f64));
-        family("fleet_members", "gauge", "Processes in the book.", one(v.members.len() as f64));
+        family("fleet_term", "counter", "Current term.", one(v.term as f64));
+        family("fleet_members", "gauge", "Members of the ledger.", one(v.members.len() as f64));
     }
 }
 
-/// The usual text format of metrics, one family after the other.
-fn metrics(plan: &HostSettings, s: &Snapshot, sessions: usize, fleet: Option<&FleetView>) -> String {
+/// Renders all metrics in the Prometheus text format.
+fn metrics(settings: &HostSettings, s: &Snapshot, sessions: usize, fleet: Option<&FleetView>) -> String {
     let mut out = String::new();
     let mut family = |name: &str, kind: &str, help: &str, lines: Vec<(String, f64)>| {
         let _ = writeln!(out, "# HELP pearfork_{name} {help}\n# TYPE pearfork_{name} {kind}");
@@ -222,7 +242,7 @@
             let _ = writeln!(out, "pearfork_{name}{labels} {value}");
         }
     };
-    let classes = || plan.class_names.iter().zip(&s.classes);
+    let classes = || settings.class_names.iter().zip(&s.classes);
     let mut answers = Vec::new();
     for (name, c) in classes() {
         for (answer, n) in
@@ -234,7 +254,7 @@
     let by_class = |f: fn(&ClassCounts) -> u64| {
         classes().map(|(name, c)| (format!("{{class=\"{name}\"}}"), f(c) as f64)).collect()
     };
-    family("commands_taken_total", "counter", "Commands taken.", by_class(|c| c.taken));
+    family("commands_taken_total", "counter", "Commands received.", by_class(|c| c.taken));
     family("answers_total", "counter", "Final answers.", answers);
     family(
         "served_late_total",
@@ -245,21 +265,21 @@
     let mut reasons = Vec::new();
     for ((class, failed), counts) in s.reasons_by(|k| (k.class, k.failed)) {
         let (name, answer) =
-            (&plan.class_names[usize::from(class)], if failed { "failed" } else { "refused" });
+            (&settings.class_names[usize::from(class)], if failed { "failed" } else { "refused" });
         for (reason, n) in counts {
             reasons.push((format!("{{class=\"{name}\",answer=\"{answer}\",reason=\"{reason}\"}}"), n as f64));
         }
     }
-    family("not_served_total", "counter", "Commands refused or failed, by what decided it.", reasons);
+    family("not_served_total", "counter", "Commands refused or failed, by reason.", reasons);
     let waiting = s.waiting.iter().map(|(r, n)| (format!("{{reason=\"{r}\"}}"), *n as f64)).collect();
-    family("waiting", "gauge", "Requests without an answer, by what they wait for.", waiting);
-    let mut times = Vec::new();
-    for (name, t) in plan.class_names.iter().zip(&s.times_us) {
-        for (q, us) in ["0.5", "0.9", "0.99", "0.999"].iter().zip(t) {
-            times.push((format!("{{class=\"{name}\",quantile=\"{q}\"}}"), *us as f64 / 1e6));
+    family("waiting", "gauge", "Requests without a final answer, by the reason why they wait.", waiting);
+    let mut latencies = Vec::new();
+    for (name, l) in settings.class_names.iter().zip(&s.latencies_us) {
+        for (q, us) in ["0.5", "0.9", "0.99", "0.999"].iter().zip(l) {
+            latencies.push((format!("{{class=\"{name}\",quantile=\"{q}\"}}"), *us as f64 / 1e6));
         }
     }
-    family("answer_seconds", "summary", "Time from taking a command to serving it.", times);
+    family("answer_seconds", "summary", "Time from receiving a command to serving it.", latencies);
     let mut attempts = Vec::new();
     for (node, c) in &s.nodes {
         for (end, n) in [
@@ -275,12 +295,17 @@
             attempts.push((format!("{{node=\"{node}\",end=\"{end}\"}}"), n as f64));
         }
     }
-    family("attempts_total", "counter", "Attempts by node and how they ended.", attempts);
-    let further =
+    family("attempts_total", "counter", "Attempts by node and outcome.", attempts);
+    let retries =
         s.nodes.iter().map(|(node, c)| (format!("{{node=\"{node}\"}}"), c.retries as f64)).collect();
-    family("further_attempts_total", "counter", "Attempts beyond a request's first.", further);
-    family("commands_open", "gauge", "Commands without an answer.", vec![(String::new(), s.open as f64)]);
-    family("sessions", "gauge", "Sessions of clients.", vec![(String::new(), sessions as f64)]);
+    family("further_attempts_total", "counter", "Retries and hedged attempts by node.", retries);
+    family(
+        "commands_open",
+        "gauge",
+        "Commands without a final answer.",
+        vec![(String::new(), s.open as f64)],
+    );
+    family("sessions", "gauge", "Client sessions.", vec![(String::new(), sessions as f64)]);
     if let Some(fleet) = fleet {
         fleet_metrics(fleet, &mut family);
     }
--- a/crates/host/src/volumes.rs
+++ b/crates/host/src/volumes.rs
@@ -1,49 +1,49 @@
-//! Volumes, their extents, and where each extent lies. No I/O.
+//! Volumes, their extents, and the shard of each extent. No I/O.
 //!
-//! An extent is a fixed range of a volume's blocks; its shard, told by the settings, names the node that holds
-//! it. A command that crosses extents is cut at their borders.
+//! An extent is a fixed range of a volume's blocks. The settings assign it to a shard, and thereby to the
+//! nodes that hold that shard. A command that crosses extents is split at their boundaries.
 
 use pearfork_scsi::{Media, MediaOp, Unit};
 
-/// Position of a volume in the settings.
+/// A volume's position in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct VolumeId(pub u32);
 
-/// A volume as it is served.
+/// A volume as clients see it, and where its blocks are.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Volume {
-    /// Its position.
+    /// Its position in the settings.
     pub id: VolumeId,
-    /// Its name in reports.
+    /// Its name in the settings, metrics and logs.
     pub name: String,
-    /// The target under which it is found.
+    /// The iSCSI target that exports it.
     pub target: String,
-    /// Its unit number there.
+    /// Its LUN at that target.
     pub lun: u16,
-    /// Size and identity toward clients.
+    /// The SCSI logical unit: size and identity.
     pub unit: Unit,
-    /// Blocks in an extent.
+    /// Number of blocks in an extent.
     pub extent_blocks: u64,
-    /// Shards over which extents are dealt out in turn.
+    /// The shards that hold the extents, assigned round-robin.
     pub shards: Vec<u16>,
-    /// Position of its plan.
+    /// Position of its service plan.
     pub plan: u16,
-    /// Hosts through which its requests come.
+    /// Number of hosts through which its requests come.
     pub hosts: u32,
-    /// Initiators that may use it; `*` for any.
+    /// Names of the initiators that may use it; `*` for any.
     pub initiators: Vec<String>,
 }
 
-/// A part of a command, within one extent.
+/// The part of a command that lies within one extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The extent as the module's key; never 0.
+    /// The extent's key for the scheduler, unique over all volumes; never 0.
     pub extent: u64,
-    /// The shard that holds it.
+    /// The shard that holds the extent.
     pub shard: u16,
-    /// What is done there.
+    /// The operation and its blocks.
     pub media: Media,
-    /// Where its data begins within the command's.
+    /// Byte offset of this part's data within the command's data.
     pub offset: usize,
 }
 
@@ -53,45 +53,45 @@
         self.shards[(extent % self.shards.len() as u64) as usize]
     }
 
-    /// Whether an initiator may use it.
-    pub fn admits(&self, initiator: &str) -> bool {
+    /// Whether an initiator may use the volume.
+    pub fn allows(&self, initiator: &str) -> bool {
         self.initiators.iter().any(|i| i == "*" || i.eq_ignore_ascii_case(initiator))
     }
 
-    fn key(&self, extent: u64) -> u64 {
+    fn extent_key(&self, extent: u64) -> u64 {
         (u64::from(self.id.0) + 1) << 40 | (extent & ((1 << 40) - 1))
     }
 
-    /// Cuts a command whose blocks exist into its parts, in order; none where it moves no blocks.
-    pub fn parts(&self, media: Media) -> Vec<Part> {
+    /// Splits a command into its parts, in order; none if it has no blocks. The blocks must exist.
+    pub fn split(&self, media: Media) -> Vec<Part> {
         let end = media.lba + u64::from(media.blocks);
         if media.op == MediaOp::Flush {
-            return self.flushes(media, end);
+            return self.split_flush(media, end);
         }
         let (mut lba, mut out) = (media.lba, Vec::new());
         while lba < end {
             let extent = lba / self.extent_blocks;
-            let upto = end.min((extent + 1) * self.extent_blocks);
+            let extent_end = end.min((extent + 1) * self.extent_blocks);
             let offset = (lba - media.lba) as usize * self.unit.block_len as usize;
-            let media = Media { lba, blocks: (upto - lba) as u32, ..media };
-            out.push(Part { extent: self.key(extent), shard: self.shard_of(extent), media, offset });
-            lba = upto;
+            let media = Media { lba, blocks: (extent_end - lba) as u32, ..media };
+            out.push(Part { extent: self.extent_key(extent), shard: self.shard_of(extent), media, offset });
+            lba = extent_end;
         }
         out
     }
 
-    /// A flush goes once to each shard that holds a block of the range, with the whole range.
-    fn flushes(&self, media: Media, end: u64) -> Vec<Part> {
+    /// A flush goes once, with its whole range, to each shard that holds a block of the range.
+    fn split_flush(&self, media: Media, end: u64) -> Vec<Part> {
         if media.blocks == 0 {
             return Vec::new();
         }
         let (first, last) = (media.lba / self.extent_blocks, (end - 1) / self.extent_blocks);
         let mut out: Vec<Part> = Vec::new();
-        // Dealt out in turn: after as many extents as shards no new shard comes.
+        // Extents are assigned round-robin, so that as many extents as there are shards cover every shard.
         for extent in first..=last.min(first + self.shards.len() as u64 - 1) {
             let shard = self.shard_of(extent);
             if out.iter().all(|p| p.shard != shard) {
-                out.push(Part { extent: self.key(extent), shard, media, offset: 0 });
+                out.push(Part { extent: self.extent_key(extent), shard, media, offset: 0 });
             }
         }
         out
@@ -128,7 +128,7 @@
             let v = volume(10_000, extent, (0..shards).collect());
             let media = Media { op: MediaOp::Read, lba, blocks, fua: false, group: 0 };
             let mut at = lba;
-            for p in v.parts(media) {
+            for p in v.split(media) {
                 prop_assert_eq!(p.media.lba, at);
                 prop_assert_eq!(p.offset as u64, (at - lba) * 512);
                 let last = at + u64::from(p.media.blocks) - 1;
@@ -144,7 +144,7 @@
         fn a_flush_reaches_each_shard_of_its_range_once(lba in 0u64..5000, blocks in 1u32..5000, extent in 1u64..700) {
             let v = volume(10_000, extent, vec![4, 1, 4, 7]);
             let media = Media { op: MediaOp::Flush, lba, blocks, fua: false, group: 0 };
-            let mut got: Vec<u16> = v.parts(media).iter().map(|p| p.shard).collect();
+            let mut got: Vec<u16> = v.split(media).iter().map(|p| p.shard).collect();
             got.sort_unstable();
             let end = lba + u64::from(blocks) - 1;
             let mut want: Vec<u16> = (lba / extent..=end / extent).map(|e| v.shard_of(e)).collect();
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -1,7 +1,8 @@
-//! The driver of the module, without sockets or clock: what is told, what is carried out, when.
+//! Tests of the dispatcher without sockets or clock: its outputs for given inputs, and when they come.
 
 use pearfork_host::dispatcher::{
-    AttemptId, Dispatcher, Effect, Ended, Final, Input, Order, Origin, Served, Submission,
+    AttemptEnd, AttemptId, CommandId, Completion, Dispatcher, FinalAnswer, Input, OutgoingAttempt, Output,
+    Submission,
 };
 use pearfork_host::settings::HostSettings;
 use pearfork_host::volumes::VolumeId;
@@ -12,16 +13,20 @@
 
 const T0: f64 = 1_700_000_000_000.0;
 
-struct Host {
-    d: Dispatcher,
+struct TestHost {
+    dispatcher: Dispatcher,
     now: f64,
-    next: u32,
+    next_tag: u32,
 }
 
-impl Host {
-    fn new() -> Host {
-        let plan = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
-        let mut h = Host { d: Dispatcher::new(Arc::new(plan), 1, 77).unwrap(), now: T0, next: 1 };
+impl TestHost {
+    fn new() -> TestHost {
+        let settings = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
+        let mut h = TestHost {
+            dispatcher: Dispatcher::new(Arc::new(settings), 1, 77).unwrap(),
+            now: T0,
+            next_tag: 1,
+        };
         let node = |n: u32| pearfork::NodeEntry {
             node: n + 10,
             shard: n as u16,
@@ -29,209 +34,220 @@
             state: pearfork::NodeState::Ready,
             started_ms: 0.0,
         };
-        h.give(Input::List(pearfork::ListKind::Full, (0..3).map(node).collect()));
+        h.give(Input::NodeList(pearfork::ListKind::Full, (0..3).map(node).collect()));
         h
     }
 
-    fn give(&mut self, input: Input) -> Vec<Effect> {
+    fn give(&mut self, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
-        self.d.handle(self.now, input, &mut out);
+        self.dispatcher.handle(self.now, input, &mut out);
         out
     }
 
-    fn submit_at(&mut self, arrived_ms: f64, op: MediaOp, lba: u64, blocks: u32) -> (Origin, Vec<Effect>) {
-        let origin = Origin { session: 1, tag: self.next };
-        self.next += 1;
+    fn submit_at(&mut self, arrived_ms: f64, op: MediaOp, lba: u64, blocks: u32) -> (CommandId, Vec<Output>) {
+        let id = CommandId { session: 1, tag: self.next_tag };
+        self.next_tag += 1;
         let media = Media { op, lba, blocks, fua: false, group: 0 };
         let data: Payload = vec![5; media.data_out(512) as usize].into();
         let submission = Submission {
-            origin,
+            id,
             session_handle: 3,
-            command_number: self.next,
+            command_number: self.next_tag,
             volume: VolumeId(0),
             media,
             initiator: "iqn.2026-12.org.example:x".into(),
             data,
             arrived_ms,
         };
-        (origin, self.give(Input::Submit(Box::new(submission))))
+        (id, self.give(Input::Submit(Box::new(submission))))
     }
 
-    fn submit(&mut self, op: MediaOp, lba: u64, blocks: u32) -> (Origin, Vec<Effect>) {
+    fn submit(&mut self, op: MediaOp, lba: u64, blocks: u32) -> (CommandId, Vec<Output>) {
         self.submit_at(self.now, op, lba, blocks)
     }
 
-    /// Rings all that is due up to a time, at its time.
-    fn until(&mut self, to: f64) -> Vec<(f64, Effect)> {
+    /// Advances the time to `to` and fires each timer when it is due.
+    fn advance_to(&mut self, to: f64) -> Vec<(f64, Output)> {
         let mut out = Vec::new();
-        while let Some(at) = self.d.next_due().filter(|at| *at <= to) {
+        while let Some(at) = self.dispatcher.next_timer().filter(|at| *at <= to) {
             self.now = self.now.max(at);
-            let mut effects = Vec::new();
-            self.d.ring(self.now, &mut effects);
-            out.extend(effects.into_iter().map(|e| (self.now, e)));
+            let mut outputs = Vec::new();
+            self.dispatcher.run_timers(self.now, &mut outputs);
+            out.extend(outputs.into_iter().map(|o| (self.now, o)));
         }
         self.now = to;
         out
     }
 }
 
-fn sends(effects: &[Effect]) -> Vec<(u32, Order)> {
-    let send = |e: &Effect| if let Effect::Send(n, o) = e { Some((*n, (**o).clone())) } else { None };
-    effects.iter().filter_map(send).collect()
+fn sends(outputs: &[Output]) -> Vec<(u32, OutgoingAttempt)> {
+    let send = |o: &Output| if let Output::Send(n, a) = o { Some((*n, (**a).clone())) } else { None };
+    outputs.iter().filter_map(send).collect()
 }
 
-fn answers(effects: &[Effect]) -> Vec<(Origin, Final)> {
-    let answer = |e: &Effect| if let Effect::Answer(o, f) = e { Some((*o, f.clone())) } else { None };
-    effects.iter().filter_map(answer).collect()
+fn answers(outputs: &[Output]) -> Vec<(CommandId, FinalAnswer)> {
+    let answer = |o: &Output| if let Output::Answer(id, a) = o { Some((*id, a.clone())) } else { None };
+    outputs.iter().filter_map(answer).collect()
 }
 
-fn good(bytes: usize) -> Ended {
-    Ended::Served(Served::Good(vec![9; bytes].into()))
+fn good(bytes: usize) -> AttemptEnd {
+    AttemptEnd::Served(Completion::Good(vec![9; bytes].into()))
 }
 
 #[test]
-fn a_command_across_extents_is_one_answer_with_its_data_in_order() {
-    let mut h = Host::new();
-    let (origin, out) = h.submit(MediaOp::Read, 2047, 3);
+fn a_command_across_extents_gets_one_answer_with_its_data_in_order() {
+    let mut h = TestHost::new();
+    let (command, out) = h.submit(MediaOp::Read, 2047, 3);
     let sent = sends(&out);
     assert_eq!(
         sent.iter().map(|s| (s.0, s.1.media.lba, s.1.media.blocks)).collect::<Vec<_>>(),
         [(10, 2047, 1), (11, 2048, 2)]
     );
-    assert_ne!(sent[0].1.tag.key, sent[1].1.tag.key, "a rack must not take one part for the other's repeat");
-    let second = Served::Good(vec![2; 1024].into());
-    assert!(answers(&h.give(Input::Ended(sent[1].1.attempt, Ended::Served(second), None))).is_empty());
-    let first = Served::Good(vec![1; 512].into());
-    let done = answers(&h.give(Input::Ended(sent[0].1.attempt, Ended::Served(first), None)));
-    let [(o, Final::Served(Served::Good(data)))] = &done[..] else { panic!("{done:?}") };
-    assert_eq!((*o, data.to_bytes().to_vec()), (origin, [vec![1; 512], vec![2; 1024]].concat()));
+    assert_ne!(
+        sent[0].1.tag.key, sent[1].1.tag.key,
+        "a node must not take one part for a repeat of the other"
+    );
+    let second = Completion::Good(vec![2; 1024].into());
+    assert!(answers(&h.give(Input::AttemptEnded(sent[1].1.id, AttemptEnd::Served(second), None))).is_empty());
+    let first = Completion::Good(vec![1; 512].into());
+    let done = answers(&h.give(Input::AttemptEnded(sent[0].1.id, AttemptEnd::Served(first), None)));
+    let [(o, FinalAnswer::Served(Completion::Good(data)))] = &done[..] else { panic!("{done:?}") };
+    assert_eq!((*o, data.to_bytes().to_vec()), (command, [vec![1; 512], vec![2; 1024]].concat()));
 }
 
 #[test]
-fn a_part_that_fails_makes_one_failure_of_the_whole() {
-    let mut h = Host::new();
-    let (origin, out) = h.submit(MediaOp::Write, 2047, 2);
+fn a_command_with_a_failed_part_fails_once() {
+    let mut h = TestHost::new();
+    let (command, out) = h.submit(MediaOp::Write, 2047, 2);
     let sent = sends(&out);
-    assert!(answers(&h.give(Input::Ended(sent[0].1.attempt, good(0), None))).is_empty());
-    // The other hangs: the module ends it before the deadline.
-    let later = h.until(T0 + 2_500.0);
-    let done: Vec<(f64, Final)> = later
+    assert!(answers(&h.give(Input::AttemptEnded(sent[0].1.id, good(0), None))).is_empty());
+    // The node of the other part does not respond: the scheduler ends the request before the deadline.
+    let later = h.advance_to(T0 + 2_500.0);
+    let done: Vec<(f64, FinalAnswer)> = later
         .iter()
         .flat_map(|(at, e)| answers(std::slice::from_ref(e)).into_iter().map(|a| (*at, a)))
-        .map(|(at, (o, f))| {
-            assert_eq!(o, origin);
-            (at, f)
+        .map(|(at, (id, a))| {
+            assert_eq!(id, command);
+            (at, a)
         })
         .collect();
-    assert!(matches!(done[..], [(at, Final::Failed)] if at < T0 + 2_000.0), "{done:?}");
+    assert!(matches!(done[..], [(at, FinalAnswer::Failed)] if at < T0 + 2_000.0), "{done:?}");
 }
 
 #[test]
-fn the_time_of_a_command_runs_from_its_coming_not_from_when_the_engine_got_to_it() {
-    let mut h = Host::new();
+fn the_deadline_counts_from_the_arrival_of_a_command_not_from_its_handling() {
+    let mut h = TestHost::new();
     h.now = T0 + 600.0;
     let (_, out) = h.submit_at(T0, MediaOp::Read, 0, 8);
     assert_eq!(sends(&out).len(), 1);
-    let later = h.until(T0 + 5_000.0);
-    let at = later.iter().find(|(_, e)| matches!(e, Effect::Answer(..))).map(|(at, _)| at - T0);
+    let later = h.advance_to(T0 + 5_000.0);
+    let at = later.iter().find(|(_, e)| matches!(e, Output::Answer(..))).map(|(at, _)| at - T0);
     assert!(at.is_some_and(|at| at < 2_000.0), "{at:?}");
 }
 
 #[test]
-fn an_answer_after_its_time_out_answers_nobody() {
-    let mut h = Host::new();
+fn a_response_after_the_time_out_of_its_attempt_is_ignored() {
+    let mut h = TestHost::new();
     let (_, out) = h.submit(MediaOp::Read, 0, 8);
-    let order = sends(&out).remove(0).1;
-    let later = h.until(T0 + 2_500.0);
-    assert_eq!(later.iter().filter(|(_, e)| matches!(e, Effect::Answer(..))).count(), 1);
-    assert!(later.iter().any(|(_, e)| matches!(e, Effect::Abort(10, a) if *a == order.attempt)));
-    assert!(!order.wanted.load(Ordering::SeqCst), "what waits for a window must not go out any more");
+    let attempt = sends(&out).remove(0).1;
+    let later = h.advance_to(T0 + 2_500.0);
+    assert_eq!(later.iter().filter(|(_, e)| matches!(e, Output::Answer(..))).count(), 1);
+    assert!(later.iter().any(|(_, e)| matches!(e, Output::Abort(10, a) if *a == attempt.id)));
+    assert!(
+        !attempt.wanted.load(Ordering::SeqCst),
+        "an attempt that is still queued at the link must not be sent any more"
+    );
     assert!(h
-        .give(Input::Ended(order.attempt, good(4096), None))
+        .give(Input::AttemptEnded(attempt.id, good(4096), None))
         .iter()
-        .all(|e| !matches!(e, Effect::Answer(..))));
+        .all(|e| !matches!(e, Output::Answer(..))));
 }
 
 #[test]
-fn an_abandoned_command_gets_no_answer_and_nothing_more_is_sent_for_it() {
-    let mut h = Host::new();
-    let (origin, out) = h.submit(MediaOp::Write, 0, 8);
-    let order = sends(&out).remove(0).1;
-    assert!(h.give(Input::Abandon(origin)).is_empty());
-    assert!(h.give(Input::Ended(order.attempt, Ended::Reset, None)).is_empty());
-    let later = h.until(T0 + 4_000.0);
-    assert!(later.iter().all(|(_, e)| !matches!(e, Effect::Answer(..) | Effect::Send(..))));
-    assert_eq!(h.d.open_commands(), 0);
+fn an_abandoned_command_gets_no_answer_and_no_further_attempt() {
+    let mut h = TestHost::new();
+    let (command, out) = h.submit(MediaOp::Write, 0, 8);
+    let attempt = sends(&out).remove(0).1;
+    assert!(h.give(Input::Abandon(command)).is_empty());
+    assert!(h.give(Input::AttemptEnded(attempt.id, AttemptEnd::Reset, None)).is_empty());
+    let later = h.advance_to(T0 + 4_000.0);
+    assert!(later.iter().all(|(_, e)| !matches!(e, Output::Answer(..) | Output::Send(..))));
+    assert_eq!(h.dispatcher.open_commands(), 0);
 }
 
 #[test]
-fn a_sessions_end_abandons_its_commands_and_no_others() {
-    let mut h = Host::new();
+fn a_closed_session_abandons_its_commands_and_no_others() {
+    let mut h = TestHost::new();
     h.submit(MediaOp::Read, 0, 8);
     h.submit(MediaOp::Read, 8, 8);
-    h.give(Input::SessionGone(2));
-    assert_eq!(h.d.open_commands(), 2);
-    h.give(Input::SessionGone(1));
-    assert_eq!(h.d.open_commands(), 0);
+    h.give(Input::SessionClosed(2));
+    assert_eq!(h.dispatcher.open_commands(), 2);
+    h.give(Input::SessionClosed(1));
+    assert_eq!(h.dispatcher.open_commands(), 0);
 }
 
 #[test]
-fn every_attempt_of_a_request_carries_its_key_and_its_own_number() {
-    let mut h = Host::new();
+fn every_attempt_of_a_request_carries_the_same_key_and_its_own_number() {
+    let mut h = TestHost::new();
     let (_, out) = h.submit(MediaOp::Write, 0, 8);
     let first = sends(&out).remove(0).1;
-    let mut out = h.give(Input::Ended(first.attempt, Ended::ConnectFailed, None));
-    out.extend(h.until(T0 + 1_000.0).into_iter().map(|e| e.1));
+    let mut out = h.give(Input::AttemptEnded(first.id, AttemptEnd::ConnectFailed, None));
+    out.extend(h.advance_to(T0 + 1_000.0).into_iter().map(|e| e.1));
     let again = sends(&out).remove(0).1;
     assert_eq!(again.tag.key, first.tag.key);
-    assert_eq!(again.attempt, AttemptId { request: first.attempt.request, number: 1 });
+    assert_eq!(again.id, AttemptId { request: first.id.request, number: 1 });
     assert_eq!((first.tag.attempt, again.tag.attempt), (0, 1));
 }
 
 #[test]
-fn words_about_attempts_that_never_were_change_nothing() {
-    let mut h = Host::new();
-    let ghost = AttemptId { request: 900, number: 3 };
-    for ended in [good(0), Ended::Error, Ended::Full, Ended::Reset, Ended::ConnectFailed] {
-        assert!(h.give(Input::Ended(ghost, ended, None)).is_empty());
+fn outcomes_of_unknown_attempts_are_ignored() {
+    let mut h = TestHost::new();
+    let unknown = AttemptId { request: 900, number: 3 };
+    for outcome in
+        [good(0), AttemptEnd::Error, AttemptEnd::Rejected, AttemptEnd::Reset, AttemptEnd::ConnectFailed]
+    {
+        assert!(h.give(Input::AttemptEnded(unknown, outcome, None)).is_empty());
     }
-    assert!(h.give(Input::Abandon(Origin { session: 9, tag: 9 })).is_empty());
+    assert!(h.give(Input::Abandon(CommandId { session: 9, tag: 9 })).is_empty());
 }
 
 #[test]
-fn what_is_due_rings_at_its_time_the_timer_set_last_too() {
-    // Danger: one that is due and does not ring makes the engine's thread spin.
-    let mut h = Host::new();
+fn no_timer_is_due_after_the_due_ones_have_fired() {
+    // A timer that is due and does not fire would make the engine's thread spin.
+    let mut h = TestHost::new();
     for _ in 0..50 {
-        let due = h.d.next_due().expect("the module's tick");
+        let due = h.dispatcher.next_timer().expect("the scheduler's periodic timer");
         h.now = h.now.max(due);
-        h.d.ring(h.now, &mut Vec::new());
-        assert!(h.d.next_due().is_none_or(|next| next > h.now), "still due after ringing");
+        h.dispatcher.run_timers(h.now, &mut Vec::new());
+        assert!(
+            h.dispatcher.next_timer().is_none_or(|next| next > h.now),
+            "a timer is still due after firing"
+        );
     }
 }
 
 #[test]
-fn new_matching_rules_hold_for_what_comes_and_what_is_in_flight_keeps_its_terms() {
+fn new_matching_rules_apply_to_new_commands_and_not_to_those_in_flight() {
     let text = include_str!("../../../examples/quickstart.toml");
-    let mut h = Host::new();
-    // A write is keyed: it goes again after a reset.
+    let mut h = TestHost::new();
+    // A write is keyed, and retried after a reset.
     let (_, out) = h.submit(MediaOp::Write, 0, 8);
     let first = sends(&out).remove(0).1;
-    let plan = HostSettings::from_toml(text).unwrap();
+    let settings = HostSettings::from_toml(text).unwrap();
     let all_unsafe = text
         .replace("class \"write\" if op == \"write\";", "class \"compare-and-write\" if op == \"write\";");
     assert_ne!(all_unsafe, text);
     h.give(Input::Matching(
-        plan.compatible_matching(&HostSettings::from_toml(&all_unsafe).unwrap()).unwrap(),
+        settings.compatible_matching(&HostSettings::from_toml(&all_unsafe).unwrap()).unwrap(),
     ));
     let (_, out) = h.submit(MediaOp::Write, 64, 8);
     let second = sends(&out).remove(0).1;
-    let mut out = h.give(Input::Ended(first.attempt, Ended::Reset, None));
-    out.extend(h.give(Input::Ended(second.attempt, Ended::Reset, None)));
-    out.extend(h.until(T0 + 500.0).into_iter().map(|e| e.1));
+    let mut out = h.give(Input::AttemptEnded(first.id, AttemptEnd::Reset, None));
+    out.extend(h.give(Input::AttemptEnded(second.id, AttemptEnd::Reset, None)));
+    out.extend(h.advance_to(T0 + 500.0).into_iter().map(|e| e.1));
     let again: Vec<u64> = sends(&out).iter().map(|s| s.1.media.lba).collect();
-    assert_eq!(again, [0], "the second may not go again: it came as unsafe");
-    // Classes are not exchanged under a running host.
-    let other = HostSettings::from_toml(&text.replace("aim = \"150ms\"", "aim = \"160ms\"")).unwrap();
-    assert!(plan.compatible_matching(&other).unwrap_err().to_string().contains("restart the host"));
+    assert_eq!(again, [0], "the second write is of an unsafe class and must not be retried");
+    // The classes of a running host cannot be changed.
+    let other_aim = HostSettings::from_toml(&text.replace("aim = \"150ms\"", "aim = \"160ms\"")).unwrap();
+    assert!(settings.compatible_matching(&other_aim).unwrap_err().to_string().contains("restart the host"));
 }
