--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,145 +1,158 @@
-//! Commands as a server reads them: arrays of bulk strings.
+//! Incremental decoder for the commands that a server receives: arrays of bulk strings.
 
-use crate::line::{number, take_line, Line, NUMBER_LINE};
+use crate::line::{parse_number, take_line, Line, MAX_NUMBER_LINE};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Words of a command, the name first; at least one.
+/// The arguments of a command, starting with its name. Never empty.
 pub type Command = Vec<Bytes>;
 
-/// How much a command may hold.
+/// Upper bounds on the size of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommandLimits {
-    /// Most words.
+    /// Maximum number of arguments, the command name included.
     pub args: usize,
-    /// Most bytes of a word.
+    /// Maximum size of one argument in bytes.
     pub arg_bytes: usize,
-    /// Most bytes of all words of a command.
+    /// Maximum size of all arguments of a command together in bytes.
     pub total_bytes: usize,
 }
 
-/// Why a stream of commands can't be read any further.
+/// Reason why a command stream can no longer be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It does not begin with `*`.
+    /// The command does not begin with `*`.
     #[error("expected '*', an array of bulk strings")]
     NotAnArray,
-    /// A word does not begin with `$`.
+    /// An argument does not begin with `$`.
     #[error("expected '$', a bulk string")]
-    NotABulk,
-    /// A line is too long, or holds no number.
+    NotABulkString,
+    /// A length line is too long or does not hold a number.
     #[error("invalid length line")]
-    Line,
-    /// A number of words or bytes below the least that makes sense.
+    InvalidLengthLine,
+    /// An argument count below 1, or a negative argument length.
     #[error("invalid length")]
-    Length,
-    /// More words than allowed.
+    InvalidLength,
+    /// More arguments than [`CommandLimits::args`].
     #[error("too many words")]
-    Words,
-    /// More bytes than allowed.
+    TooManyArgs,
+    /// More bytes than [`CommandLimits::arg_bytes`] or [`CommandLimits::total_bytes`].
     #[error("too big")]
-    TooBig,
-    /// A word does not end with a line end where its length says.
+    TooLarge,
+    /// No CRLF where the stated length of an argument ends.
     #[error("length does not match")]
-    Mismatch,
+    LengthMismatch,
 }
 
-/// Takes bytes, gives commands.
+/// Decodes commands from a stream of bytes that arrives in arbitrary chunks.
 #[derive(Debug)]
 pub struct CommandDecoder {
     limits: CommandLimits,
     buffer: BytesMut,
-    /// Words still to come of the command that is being read, and those that came.
-    left: usize,
-    words: Vec<Bytes>,
-    held: usize,
-    /// Length of the word whose line was read.
-    word: Option<usize>,
-    fault: Option<CommandError>,
+    /// Number of arguments of the current command that are still to come, and those already decoded.
+    remaining_args: usize,
+    args: Vec<Bytes>,
+    args_bytes: usize,
+    /// Length of the current argument, once its length line has been read.
+    arg_len: Option<usize>,
+    error: Option<CommandError>,
 }
 
 impl CommandDecoder {
-    /// Nothing read yet.
+    /// Creates a decoder with an empty buffer.
     pub fn new(limits: CommandLimits) -> CommandDecoder {
         let buffer = BytesMut::new();
-        CommandDecoder { limits, buffer, left: 0, words: Vec::new(), held: 0, word: None, fault: None }
+        CommandDecoder {
+            limits,
+            buffer,
+            remaining_args: 0,
+            args: Vec::new(),
+            args_bytes: 0,
+            arg_len: None,
+            error: None,
+        }
     }
 
-    /// Where bytes that came are appended.
+    /// The input buffer: append received bytes here.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// Whether a command has begun and not ended.
+    /// Whether a command has been received in part.
     pub fn has_partial(&self) -> bool {
-        self.left > 0 || !self.buffer.is_empty()
+        self.remaining_args > 0 || !self.buffer.is_empty()
     }
 
-    /// The next whole command; `None` where more bytes are needed.
+    /// Decodes the next complete command, or returns `None` if more bytes are needed.
     ///
     /// # Errors
-    /// The stream is of no further use; the same is told again.
+    /// The stream is not valid RESP or exceeds the limits. The stream cannot be resynchronized, so
+    /// every later call returns the same error.
     pub fn next_command(&mut self) -> Result<Option<Command>, CommandError> {
-        match self.fault {
-            Some(fault) => Err(fault),
-            None => self.read().inspect_err(|fault| {
-                self.fault = Some(*fault);
+        match self.error {
+            Some(error) => Err(error),
+            None => self.read().inspect_err(|error| {
+                self.error = Some(*error);
                 self.buffer = BytesMut::new();
-                self.words = Vec::new();
+                self.args = Vec::new();
             }),
         }
     }
 
     fn read(&mut self) -> Result<Option<Command>, CommandError> {
-        if self.left == 0 {
-            let Some(words) = self.length(b'*', CommandError::NotAnArray)? else { return Ok(None) };
-            if words < 1 {
-                return Err(CommandError::Length);
+        if self.remaining_args == 0 {
+            let Some(count) = self.read_length(b'*', CommandError::NotAnArray)? else { return Ok(None) };
+            if count < 1 {
+                return Err(CommandError::InvalidLength);
             }
-            if words > self.limits.args as i64 {
-                return Err(CommandError::Words);
+            if count > self.limits.args as i64 {
+                return Err(CommandError::TooManyArgs);
             }
-            (self.left, self.held) = (words as usize, 0);
+            (self.remaining_args, self.args_bytes) = (count as usize, 0);
         }
-        while self.left > 0 {
-            let len = match self.word {
+        while self.remaining_args > 0 {
+            let len = match self.arg_len {
                 Some(len) => len,
                 None => {
-                    let Some(len) = self.length(b'$', CommandError::NotABulk)? else { return Ok(None) };
+                    let Some(len) = self.read_length(b'$', CommandError::NotABulkString)? else {
+                        return Ok(None);
+                    };
                     if len < 0 {
-                        return Err(CommandError::Length);
+                        return Err(CommandError::InvalidLength);
                     }
-                    // Danger: a stated length is believed only within the limit, before a byte of it is kept.
+                    // Checks the stated length against the limits before any byte of the argument is
+                    // buffered, so that a peer cannot make the decoder allocate more than it allows.
                     if len > self.limits.arg_bytes as i64
-                        || self.held + len as usize > self.limits.total_bytes
+                        || self.args_bytes + len as usize > self.limits.total_bytes
                     {
-                        return Err(CommandError::TooBig);
+                        return Err(CommandError::TooLarge);
                     }
-                    *self.word.insert(len as usize)
+                    *self.arg_len.insert(len as usize)
                 }
             };
             if self.buffer.len() < len + 2 {
                 return Ok(None);
             }
             if &self.buffer[len..len + 2] != b"\r\n" {
-                return Err(CommandError::Mismatch);
+                return Err(CommandError::LengthMismatch);
             }
-            self.words.push(self.buffer.split_to(len).freeze());
+            self.args.push(self.buffer.split_to(len).freeze());
             self.buffer.advance(2);
-            (self.word, self.held, self.left) = (None, self.held + len, self.left - 1);
+            (self.arg_len, self.args_bytes, self.remaining_args) =
+                (None, self.args_bytes + len, self.remaining_args - 1);
         }
-        Ok(Some(std::mem::take(&mut self.words)))
+        Ok(Some(std::mem::take(&mut self.args)))
     }
 
-    fn length(&mut self, marker: u8, otherwise: CommandError) -> Result<Option<i64>, CommandError> {
+    fn read_length(&mut self, marker: u8, wrong_marker: CommandError) -> Result<Option<i64>, CommandError> {
         match self.buffer.first() {
             None => return Ok(None),
-            Some(first) if *first != marker => return Err(otherwise),
+            Some(first) if *first != marker => return Err(wrong_marker),
             Some(_) => {}
         }
-        match take_line(&mut self.buffer, NUMBER_LINE) {
+        match take_line(&mut self.buffer, MAX_NUMBER_LINE) {
             Line::Partial => Ok(None),
-            Line::Bad => Err(CommandError::Line),
-            Line::Whole(line) => number(&line[1..]).map(Some).ok_or(CommandError::Line),
+            Line::Invalid => Err(CommandError::InvalidLengthLine),
+            Line::Whole(line) => parse_number(&line[1..]).map(Some).ok_or(CommandError::InvalidLengthLine),
         }
     }
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,9 +1,10 @@
-//! RESP2, the protocol of Redis, as bytes in and values out: no I/O, no clock, bounded memory.
+//! RESP2, the protocol of Redis, without I/O or a clock and with bounded memory: bytes in, values out.
 //!
-//! Source: the public RESP specification, version 2. A server reads [`CommandDecoder`] and writes with [`write`]; a client
-//! writes with [`write::command`] and reads [`ReplyDecoder`]. What the form allows and a peer can't mean (a length below
-//! -1, a line that does not end, more than was agreed) is an error that names itself; after one, the stream has lost its frame and is
-//! of no further use.
+//! Implements version 2 of the public RESP specification. A server decodes commands with [`CommandDecoder`]
+//! and encodes replies with the functions in [`mod@write`]; a client encodes commands with
+//! [`write::command`] and decodes replies with [`ReplyDecoder`]. Input that no valid peer sends (a length
+//! below -1, an unterminated line, more data than the limits allow) yields an error that names the violation.
+//! After such an error the frame boundary is lost and the stream must be closed.
 
 mod command;
 mod line;
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,93 +1,94 @@
-//! Replies as a client reads them.
+//! Incremental decoder for the replies that a client receives.
 
-use crate::line::{number, take_line, Line, NUMBER_LINE};
+use crate::line::{parse_number, take_line, Line, MAX_NUMBER_LINE};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// A reply.
+/// A decoded RESP2 reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// `+`, without the marker.
+    /// `+`: a simple string, without the marker.
     Simple(Bytes),
-    /// `-`, without the marker.
+    /// `-`: an error, without the marker.
     Error(Bytes),
-    /// `:`.
+    /// `:`: an integer.
     Integer(i64),
-    /// `$`; `None` for null.
+    /// `$`: a bulk string; `None` is the null bulk string.
     Bulk(Option<Bytes>),
-    /// `*`; `None` for null.
+    /// `*`: an array; `None` is the null array.
     Array(Option<Vec<Reply>>),
 }
 
-/// How much a reply may hold.
+/// Upper bounds on the size of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyLimits {
-    /// Most bytes of a line.
+    /// Maximum length of a simple string or an error in bytes.
     pub line_bytes: usize,
-    /// Most bytes of a bulk string.
+    /// Maximum length of a bulk string in bytes.
     pub bulk_bytes: usize,
-    /// Most elements of an array.
+    /// Maximum number of elements of an array.
     pub elements: usize,
 }
 
-/// Why a stream of replies can't be read any further.
+/// Reason why a reply stream can no longer be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplyError {
-    /// No marker of a reply.
-    #[error("no reply begins so")]
-    Marker,
-    /// A line is too long, ends badly, or holds no number where it must.
+    /// The first byte is not a RESP2 type marker.
+    #[error("unknown reply type marker")]
+    UnknownMarker,
+    /// A line is too long, contains a bare CR or LF, or does not hold a number where one is required.
     #[error("invalid line")]
-    Line,
+    InvalidLine,
     /// A length below -1.
     #[error("invalid length")]
-    Length,
-    /// More bytes or elements than allowed.
+    InvalidLength,
+    /// More bytes or elements than the limits allow.
     #[error("too big")]
-    TooBig,
-    /// A bulk string does not end where its length says.
+    TooLarge,
+    /// No CRLF where the stated length of a bulk string ends.
     #[error("length does not match")]
-    Mismatch,
-    /// Arrays within arrays, beyond one level.
+    LengthMismatch,
+    /// An array within an array. Only one level is supported.
     #[error("nested too deep")]
-    Nested,
+    NestedArray,
 }
 
-/// Takes bytes, gives replies.
+/// Decodes replies from a stream of bytes that arrives in arbitrary chunks.
 #[derive(Debug)]
 pub struct ReplyDecoder {
     limits: ReplyLimits,
     buffer: BytesMut,
-    /// Elements still to come of the array that is being read, and those that came.
+    /// Number of elements of the current array that are still to come, and those already decoded.
     array: Option<(usize, Vec<Reply>)>,
-    bulk: Option<usize>,
-    fault: Option<ReplyError>,
+    bulk_len: Option<usize>,
+    error: Option<ReplyError>,
 }
 
 impl ReplyDecoder {
-    /// Nothing read yet.
+    /// Creates a decoder with an empty buffer.
     pub fn new(limits: ReplyLimits) -> ReplyDecoder {
-        ReplyDecoder { limits, buffer: BytesMut::new(), array: None, bulk: None, fault: None }
+        ReplyDecoder { limits, buffer: BytesMut::new(), array: None, bulk_len: None, error: None }
     }
 
-    /// Where bytes that came are appended.
+    /// The input buffer: append received bytes here.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// Whether bytes came that belong to no reply given yet.
+    /// Whether bytes were received that do not belong to a reply returned so far.
     pub fn has_partial(&self) -> bool {
-        self.array.is_some() || self.bulk.is_some() || !self.buffer.is_empty()
+        self.array.is_some() || self.bulk_len.is_some() || !self.buffer.is_empty()
     }
 
-    /// The next whole reply; `None` where more bytes are needed.
+    /// Decodes the next complete reply, or returns `None` if more bytes are needed.
     ///
     /// # Errors
-    /// The stream is of no further use; the same is told again.
+    /// The stream is not valid RESP or exceeds the limits. The stream cannot be resynchronized, so
+    /// every later call returns the same error.
     pub fn next_reply(&mut self) -> Result<Option<Reply>, ReplyError> {
-        match self.fault {
-            Some(fault) => Err(fault),
-            None => self.read().inspect_err(|fault| {
-                self.fault = Some(*fault);
+        match self.error {
+            Some(error) => Err(error),
+            None => self.read().inspect_err(|error| {
+                self.error = Some(*error);
                 self.buffer = BytesMut::new();
                 self.array = None;
             }),
@@ -96,63 +97,64 @@
 
     fn read(&mut self) -> Result<Option<Reply>, ReplyError> {
         loop {
-            let Some(reply) = self.element()? else { return Ok(None) };
+            let Some(reply) = self.next_element()? else { return Ok(None) };
             match &mut self.array {
                 None => return Ok(Some(reply)),
-                Some((left, came)) => {
-                    came.push(reply);
-                    *left -= 1;
-                    if *left == 0 {
-                        return Ok(self.array.take().map(|(_, came)| Reply::Array(Some(came))));
+                Some((remaining, elements)) => {
+                    elements.push(reply);
+                    *remaining -= 1;
+                    if *remaining == 0 {
+                        return Ok(self.array.take().map(|(_, elements)| Reply::Array(Some(elements))));
                     }
                 }
             }
         }
     }
 
-    /// A reply that is no array, an empty or a null array, or the head of an array followed by its first element.
-    fn element(&mut self) -> Result<Option<Reply>, ReplyError> {
+    /// Decodes the next scalar, empty array or null array. The header of a non-empty array is stored in
+    /// `self.array`, and its first element is returned.
+    fn next_element(&mut self) -> Result<Option<Reply>, ReplyError> {
         loop {
-            if let Some(len) = self.bulk {
+            if let Some(len) = self.bulk_len {
                 if self.buffer.len() < len + 2 {
                     return Ok(None);
                 }
                 if &self.buffer[len..len + 2] != b"\r\n" {
-                    return Err(ReplyError::Mismatch);
+                    return Err(ReplyError::LengthMismatch);
                 }
-                self.bulk = None;
+                self.bulk_len = None;
                 let value = self.buffer.split_to(len).freeze();
                 self.buffer.advance(2);
                 return Ok(Some(Reply::Bulk(Some(value))));
             }
             let Some(marker) = self.buffer.first().copied() else { return Ok(None) };
-            let most = match marker {
+            let max_len = match marker {
                 b'+' | b'-' => self.limits.line_bytes,
-                b':' | b'$' | b'*' => NUMBER_LINE,
-                _ => return Err(ReplyError::Marker),
+                b':' | b'$' | b'*' => MAX_NUMBER_LINE,
+                _ => return Err(ReplyError::UnknownMarker),
             };
-            let line = match take_line(&mut self.buffer, most) {
+            let line = match take_line(&mut self.buffer, max_len) {
                 Line::Partial => return Ok(None),
-                Line::Bad => return Err(ReplyError::Line),
+                Line::Invalid => return Err(ReplyError::InvalidLine),
                 Line::Whole(line) => line.slice(1..),
             };
-            let count = || number(&line).ok_or(ReplyError::Line);
+            let parse_line = || parse_number(&line).ok_or(ReplyError::InvalidLine);
             match marker {
                 b'+' => return Ok(Some(Reply::Simple(line))),
                 b'-' => return Ok(Some(Reply::Error(line))),
-                b':' => return Ok(Some(Reply::Integer(count()?))),
-                b'$' => match count()? {
+                b':' => return Ok(Some(Reply::Integer(parse_line()?))),
+                b'$' => match parse_line()? {
                     -1 => return Ok(Some(Reply::Bulk(None))),
-                    n if n < 0 => return Err(ReplyError::Length),
-                    n if n > self.limits.bulk_bytes as i64 => return Err(ReplyError::TooBig),
-                    n => self.bulk = Some(n as usize),
+                    n if n < 0 => return Err(ReplyError::InvalidLength),
+                    n if n > self.limits.bulk_bytes as i64 => return Err(ReplyError::TooLarge),
+                    n => self.bulk_len = Some(n as usize),
                 },
-                _ => match count()? {
-                    _ if self.array.is_some() => return Err(ReplyError::Nested),
+                _ => match parse_line()? {
+                    _ if self.array.is_some() => return Err(ReplyError::NestedArray),
                     -1 => return Ok(Some(Reply::Array(None))),
                     0 => return Ok(Some(Reply::Array(Some(Vec::new())))),
-                    n if n < 0 => return Err(ReplyError::Length),
-                    n if n > self.limits.elements as i64 => return Err(ReplyError::TooBig),
+                    n if n < 0 => return Err(ReplyError::InvalidLength),
+                    n if n > self.limits.elements as i64 => return Err(ReplyError::TooLarge),
                     n => self.array = Some((n as usize, Vec::new())),
                 },
             }
--- a/crates/resp/src/write.rs
+++ b/crates/resp/src/write.rs
@@ -1,46 +1,46 @@
-//! Writing both sides of RESP2.
+//! Encoders for RESP2 commands and replies.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// A command: an array of bulk strings.
-pub fn command(out: &mut BytesMut, words: &[&[u8]]) {
-    head(out, b'*', words.len());
-    words.iter().for_each(|w| bulk(out, w));
+/// Appends a command: an array of bulk strings.
+pub fn command(out: &mut BytesMut, args: &[&[u8]]) {
+    length_line(out, b'*', args.len());
+    args.iter().for_each(|arg| bulk(out, arg));
 }
 
-/// A bulk string.
+/// Appends a bulk string.
 pub fn bulk(out: &mut BytesMut, value: &[u8]) {
-    head(out, b'$', value.len());
+    length_line(out, b'$', value.len());
     out.put_slice(value);
     out.put_slice(b"\r\n");
 }
 
-/// A simple string; line ends within become blanks.
-pub fn simple(out: &mut BytesMut, words: &str) {
-    line(out, b'+', words);
+/// Appends a simple string. CR and LF in `text` are replaced by spaces.
+pub fn simple(out: &mut BytesMut, text: &str) {
+    line(out, b'+', text);
 }
 
-/// An error; line ends within become blanks.
-pub fn error(out: &mut BytesMut, words: &str) {
-    line(out, b'-', words);
+/// Appends an error. CR and LF in `text` are replaced by spaces.
+pub fn error(out: &mut BytesMut, text: &str) {
+    line(out, b'-', text);
 }
 
-/// One of the above as bytes of its own.
+/// Returns the output of one of the other functions as a separate buffer.
 pub fn bytes(write: impl FnOnce(&mut BytesMut)) -> Bytes {
     let mut out = BytesMut::new();
     write(&mut out);
     out.freeze()
 }
 
-fn head(out: &mut BytesMut, marker: u8, n: usize) {
+fn length_line(out: &mut BytesMut, marker: u8, n: usize) {
     out.put_u8(marker);
     out.put_slice(n.to_string().as_bytes());
     out.put_slice(b"\r\n");
 }
 
-/// Danger: words from elsewhere with a line end within would become a second answer.
-fn line(out: &mut BytesMut, marker: u8, words: &str) {
+/// Replaces CR and LF, since a line break in text from another source would start a second reply.
+fn line(out: &mut BytesMut, marker: u8, text: &str) {
     out.put_u8(marker);
-    words.bytes().for_each(|b| out.put_u8(if matches!(b, b'\r' | b'\n') { b' ' } else { b }));
+    text.bytes().for_each(|b| out.put_u8(if matches!(b, b'\r' | b'\n') { b' ' } else { b }));
     out.put_slice(b"\r\n");
 }
