--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -5,7 +5,7 @@
 //! beyond that it goes behind the fewest others.
 
 use crate::config::Links;
-use crate::rest::Rests;
+use crate::idle_loss::Rests;
 use pearfork_drive::AttemptId;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
--- a/crates/platform/tests/lives.rs
+++ b/crates/platform/tests/lives.rs
@@ -2,7 +2,7 @@
 
 use pearfork_drive::AttemptId;
 use pearfork_platform::config::Links;
-use pearfork_platform::life::{Effect, Event, Life, State};
+use pearfork_platform::lifecycle::{Effect, Event, Life, State};
 use pearfork_platform::pool::{Do, LinkId, Pool};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/serving/src/front.rs
+++ b/crates/serving/src/client_reader.rs
@@ -2,13 +2,13 @@
 
 use crate::client::{Client, Mailbox};
 use crate::engine::Message;
-use crate::pauses::{Pauses, Point};
+use crate::test_hooks::{Pauses, Point};
 use bytes::Bytes;
 use crossbeam_channel::Sender;
 use pearfork_net::{lock, long_queue, Clock, Flusher, Ready, Want, WriteBuffer, MOST_TOLD};
 use pearfork_platform::clients::{AfterFault, ClientId, ClientTable};
 use pearfork_platform::config::RequestSchema;
-use pearfork_platform::life::{Effect, Event, Life, State};
+use pearfork_platform::lifecycle::{Effect, Event, Life, State};
 use pearfork_platform::request::{self, Parsed};
 use pearfork_resp::{write, CommandDecoder};
 use std::collections::{BTreeSet, HashMap};
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -1,9 +1,9 @@
 //! The one thread that owns the driver, and carries out what the module says.
 
 use crate::client::Client;
+use crate::counters::Tally;
 use crate::links::{Begun, Link, Nodes};
-use crate::pauses::{Pauses, Point};
-use crate::tally::Tally;
+use crate::test_hooks::{Pauses, Point};
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use pearfork::{AttemptResult, ListKind};
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: one thread sees them come up and reads them all.
 
 use crate::engine::Message;
-use crate::pauses::Pauses;
+use crate::test_hooks::Pauses;
 use bytes::Bytes;
 use crossbeam_channel::Sender;
 use pearfork::AttemptResult;
--- a/crates/serving/src/service.rs
+++ b/crates/serving/src/service.rs
@@ -1,10 +1,10 @@
 //! A host put together.
 
 use crate::client::Mailbox;
+use crate::client_reader::{Front, Leaving};
 use crate::engine::{Engine, Message};
-use crate::front::{Front, Leaving};
 use crate::links::Nodes;
-use crate::pauses::Pauses;
+use crate::test_hooks::Pauses;
 use crate::watch::{Following, Pace, Watcher};
 use crossbeam_channel::{bounded, Sender};
 use pearfork_drive::Driver;
@@ -93,7 +93,7 @@
     /// # Errors
     /// As [`Service::start`].
     #[cfg(feature = "pauses")]
-    pub fn start_held(config: Config, hold: crate::pauses::Hold) -> Result<Service, ServiceError> {
+    pub fn start_held(config: Config, hold: crate::test_hooks::Hold) -> Result<Service, ServiceError> {
         Service::start_with(config, Pauses { hold: Some(hold), prepare: None })
     }
 
@@ -102,7 +102,10 @@
     /// # Errors
     /// As [`Service::start`].
     #[cfg(feature = "pauses")]
-    pub fn start_prepared(config: Config, prepare: crate::pauses::Prepare) -> Result<Service, ServiceError> {
+    pub fn start_prepared(
+        config: Config,
+        prepare: crate::test_hooks::Prepare,
+    ) -> Result<Service, ServiceError> {
         Service::start_with(config, Pauses { hold: None, prepare: Some(prepare) })
     }
 
--- a/crates/serving/tests/crossings/clients.rs
+++ b/crates/serving/tests/races/client_connections.rs
@@ -1,7 +1,7 @@
 //! Ends of client connections, clients that leave, shutdown.
 
 use crate::common::{config, discovery, host_of, is_error, list_of, node, until, value, Client, Reaction};
-use crate::held::{ends_in_order, host_held, Gate, LONG};
+use crate::ordering::{ends_in_order, host_held, Gate, LONG};
 use bytes::Bytes;
 use pearfork_resp::Reply;
 use pearfork_serving::Point;
--- a/crates/serving/tests/crossings/departures.rs
+++ b/crates/serving/tests/races/disconnects.rs
@@ -5,7 +5,7 @@
 //! attempt is in the engine's queue before or behind the word of it.
 
 use crate::common::{config, discovery, is_error, node, until, value, Client, Heard, Reaction};
-use crate::held::{
+use crate::ordering::{
     answer, host_held, host_with_small_buffers, is_silent, line, list, read_command, reset, Agent, Departure,
     Gate, LateNode, LONG,
 };
--- a/crates/serving/tests/crossings/discovery.rs
+++ b/crates/serving/tests/races/discovery_failures.rs
@@ -1,7 +1,7 @@
 //! Discovery that fails in one way or another, and is back with news: the host has them in time, whatever came before.
 
 use crate::common::{config, host_of, is_error, node, value, Client, Heard, Reaction};
-use crate::held::{answer, line, list, reset, Agent, LateNode, LONG};
+use crate::ordering::{answer, line, list, reset, Agent, LateNode, LONG};
 use rustix::net::{AddressFamily, SocketType};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
--- a/crates/serving/tests/crossings/lists.rs
+++ b/crates/serving/tests/races/discovery_responses.rs
@@ -1,7 +1,7 @@
 //! The watch at discovery, and what crosses it: resets, trickles, another address, versions that go back.
 
 use crate::common::{config, host_of, is_error, node, until, value, Client, Reaction};
-use crate::held::{answer, line, list, reset, Agent};
+use crate::ordering::{answer, line, list, reset, Agent};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/serving/tests/crossings/nodes.rs
+++ b/crates/serving/tests/races/links.rs
@@ -1,7 +1,7 @@
 //! Attempts that wait for a connection while something else happens; connections that end under them.
 
 use crate::common::{config, host_of, is_error, until, value, Client};
-use crate::held::{is_silent, line, list, read_command, reset, Agent, LateNode};
+use crate::ordering::{is_silent, line, list, read_command, reset, Agent, LateNode};
 use bytes::Bytes;
 use pearfork_resp::{CommandDecoder, CommandLimits, Reply};
 use pearfork_serving::Service;
--- a/crates/serving/tests/crossings/main.rs
+++ b/crates/serving/tests/races/main.rs
@@ -4,10 +4,10 @@
 #[allow(dead_code, reason = "what the tests of a whole host share")]
 #[path = "../common/mod.rs"]
 mod common;
-mod held;
+mod ordering;
 
-mod clients;
-mod departures;
-mod discovery;
-mod lists;
-mod nodes;
+mod client_connections;
+mod disconnects;
+mod discovery_failures;
+mod discovery_responses;
+mod links;
