--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,246 +1,267 @@
-//! Which client connections stay. No I/O, no clock: times are the caller's, milliseconds.
+//! Decides which client connections are kept. No I/O and no clock: the caller passes times in milliseconds.
 //!
-//! A host has few descriptors, and anybody may connect. What was taken is answered; what says nothing, does not
-//! finish what it began, or keeps sending what makes no sense, goes first when room is needed, and after a while in any case.
+//! A host has few descriptors, and anyone may connect. Accepted requests are always answered. Connections
+//! that send no command, leave a command incomplete or keep sending invalid commands are the first to be
+//! closed when room is needed, and are closed after a timeout in any case.
 
 use std::collections::BTreeMap;
 
-/// A connection that has said nothing whole is closed after this time; the platform wants it gone within 3 s.
-const SILENT_MS: f64 = 1_800.0;
-/// A command that began and does not end is given this time from its first byte.
-const PARTIAL_MS: f64 = 1_800.0;
-/// An idle connection may be closed for room once it has stood so long; the platform allows it from 2 s.
-const IDLE_MS: f64 = 2_100.0;
-/// What makes no sense is followed by a pause before more is read: this for the first, doubled for each, up to the last.
-const FIRST_PAUSE_MS: u64 = 20;
-const LONGEST_PAUSE_MS: u64 = 640;
-/// Faults after which a connection is closed with its error.
-const FAULTS: u32 = 6;
-/// Part of the descriptors for clients, and what is kept for the listener, discovery, signals, standard streams.
-const CLIENT_PART: f64 = 0.64;
-const KEPT: usize = 24;
-
-/// Client connections that a host may hold of so many descriptors. Requests come on a third of them at most; the
-/// rest is room for those that only connect.
+/// A connection without a complete command is closed after this time. The platform requires it within 3 s.
+const FIRST_COMMAND_TIMEOUT_MS: f64 = 1_800.0;
+/// A command must be complete within this time from its first byte.
+const PARTIAL_COMMAND_TIMEOUT_MS: f64 = 1_800.0;
+/// A connection may be evicted once it has been idle for this long. The platform allows it from 2 s on.
+const MIN_EVICTABLE_IDLE_MS: f64 = 2_100.0;
+/// Pause in reading after the first invalid command. It doubles with each further one.
+const MIN_ERROR_PAUSE_MS: u64 = 20;
+/// Upper bound of this pause.
+const MAX_ERROR_PAUSE_MS: u64 = 640;
+/// Number of invalid commands after which the connection is closed, following the error reply.
+const MAX_INVALID_COMMANDS: u32 = 6;
+/// Share of the unreserved descriptors that client connections may use.
+const CLIENT_SHARE: f64 = 0.64;
+/// Descriptors reserved for the listener, discovery, signals and standard streams.
+const RESERVED_DESCRIPTORS: usize = 24;
+
+/// Number of client connections that a host may hold with this many descriptors. At most a third of the
+/// descriptors carry requests; the rest leaves room for clients that only connect.
 pub fn max_client_connections(descriptors: usize) -> usize {
-    ((descriptors.saturating_sub(KEPT)) as f64 * CLIENT_PART) as usize
+    ((descriptors.saturating_sub(RESERVED_DESCRIPTORS)) as f64 * CLIENT_SHARE) as usize
 }
 
-/// Connections to nodes that it may hold.
+/// Number of connections to nodes that a host may hold with this many descriptors.
 pub fn max_node_connections(descriptors: usize) -> usize {
-    descriptors.saturating_sub(KEPT + max_client_connections(descriptors)).max(1)
+    descriptors.saturating_sub(RESERVED_DESCRIPTORS + max_client_connections(descriptors)).max(1)
 }
 
-/// Names a connection.
+/// Identifies a client connection.
 pub type ClientId = u64;
 
 #[derive(Clone, Copy, Debug)]
-struct Entry {
-    since: f64,
-    /// When its last command was answered, or it was last heard; `None` where it has said nothing whole.
-    last: Option<f64>,
-    open: u32,
-    partial: Option<f64>,
-    faults: u32,
-    /// The host ends it: since when.
-    ending: Option<f64>,
-    /// All is answered, and some of it has not left the write buffer.
+struct ClientEntry {
+    connected_at: f64,
+    /// Time of the last command or reply; `None` until the first complete command.
+    last_active: Option<f64>,
+    open_commands: u32,
+    partial_since: Option<f64>,
+    invalid_commands: u32,
+    /// Time at which the host began to close the connection.
+    closing_since: Option<f64>,
+    /// All requests are answered, but part of the replies is still in the write buffer.
     is_flushing: bool,
 }
 
-impl Entry {
-    /// It is on its way out, and nothing is owed to its client any more.
-    fn lingers(&self) -> Option<f64> {
-        self.ending.filter(|_| self.open == 0 && !self.is_flushing)
+impl ClientEntry {
+    /// Time since which the connection has only been lingering: it is being closed and its client is owed
+    /// nothing.
+    fn lingering_since(&self) -> Option<f64> {
+        self.closing_since.filter(|_| self.open_commands == 0 && !self.is_flushing)
     }
 }
 
-/// What follows a command that makes no sense.
+/// How to continue after an invalid command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterFault {
-    /// The connection is read again after so many milliseconds; the error is sent at once.
+pub enum AfterError {
+    /// Resume reading after this many milliseconds; the error reply is sent at once.
     Pause(u64),
-    /// It is closed behind the error.
+    /// Close the connection after the error reply.
     Close,
 }
 
-/// Part of the room that connections may take which the host ends, and which linger for what may still arrive.
-const LINGER_PART: usize = 8;
-/// A connection that has just come is not closed as idle: its first command is on its way.
-const GREETING_MS: f64 = 100.0;
+/// Divisor of the capacity that gives the number of places for connections that are being closed and linger.
+const LINGERING_DIVISOR: usize = 8;
+/// A connection this young is not closed as idle, since its first command may be in transit.
+const FIRST_COMMAND_GRACE_MS: f64 = 100.0;
 
-/// The client connections of a host, those included that it ends.
+/// The client connections of a host, including those that are being closed.
 #[derive(Debug)]
 pub struct ClientTable {
-    room: usize,
-    clients: BTreeMap<ClientId, Entry>,
-    /// Descriptors of connections, those included that are over and whose requests are still in somebody's hands.
+    capacity: usize,
+    clients: BTreeMap<ClientId, ClientEntry>,
+    /// Number of open descriptors of client connections. Includes closed connections that are still
+    /// referenced by a request in the engine's queue.
     descriptors: usize,
 }
 
 impl ClientTable {
-    /// Room for so many.
-    pub fn new(room: usize) -> ClientTable {
-        ClientTable { room: room.max(1), clients: BTreeMap::new(), descriptors: 0 }
+    /// Creates a table that holds at most `capacity` connections, and at least one.
+    pub fn new(capacity: usize) -> ClientTable {
+        ClientTable { capacity: capacity.max(1), clients: BTreeMap::new(), descriptors: 0 }
     }
 
-    /// Connections that are held.
-    pub fn held(&self) -> usize {
+    /// Number of connections held.
+    pub fn count(&self) -> usize {
         self.clients.len()
     }
 
-    /// Room for so many.
-    pub fn room(&self) -> usize {
-        self.room
+    /// Maximum number of connections.
+    pub fn capacity(&self) -> usize {
+        self.capacity
     }
 
-    /// A connection's descriptor is held from now on.
+    /// Counts a descriptor that was opened for a client connection.
     pub fn descriptor_opened(&mut self) {
         self.descriptors += 1;
     }
 
-    /// A connection's descriptor was closed.
+    /// Removes a closed descriptor of a client connection from the count.
     pub fn descriptor_closed(&mut self) {
         self.descriptors = self.descriptors.saturating_sub(1);
     }
 
-    /// Whether no place is left.
+    /// Whether no further connection can be held.
     ///
-    /// Danger: a connection that is over leaves the table at once, and its descriptor stays open while a request of it waits
-    /// for its turn. Counted by the table alone, newcomers would take the descriptors that are kept for nodes and discovery.
+    /// A connection leaves the table when it closes, but its descriptor stays open while one of its requests
+    /// waits in the engine's queue. If only the table counted, new connections would take the descriptors
+    /// reserved for nodes and discovery.
     fn is_full(&self) -> bool {
-        self.clients.len().max(self.descriptors) >= self.room
-    }
-
-    /// A connection came. Where there is no room, one has to go: one that has said nothing, the longest silent first;
-    /// then an idle one, the longest idle first; otherwise the newcomer itself, of which nothing was taken yet. It is
-    /// still held where there is room for it to end in order, which is the caller's to begin; where there is none, the
-    /// one that has been ending longest and is owed nothing goes before all others, and none is held that was told.
-    pub fn arrived(&mut self, now: f64, id: ClientId) -> Option<ClientId> {
-        let entry = Entry {
-            since: now,
-            last: None,
-            open: 0,
-            partial: None,
-            faults: 0,
-            ending: None,
+        self.clients.len().max(self.descriptors) >= self.capacity
+    }
+
+    /// Adds a new connection and returns the connection to close if room is needed.
+    ///
+    /// Candidates in order of preference: the connection that has been without a command for longest, the one
+    /// that has been idle for longest, and the new connection itself, from which nothing has been read yet.
+    /// If there is room to close the candidate in order, it stays in the table and the caller begins the
+    /// close. If the table is full, the connection that has been lingering for longest is preferred to all
+    /// others, and the returned connection has already been removed.
+    pub fn add(&mut self, now: f64, id: ClientId) -> Option<ClientId> {
+        let entry = ClientEntry {
+            connected_at: now,
+            last_active: None,
+            open_commands: 0,
+            partial_since: None,
+            invalid_commands: 0,
+            closing_since: None,
             is_flushing: false,
         };
         let is_full = self.is_full();
         self.clients.insert(id, entry);
-        let ending = self.clients.values().filter(|c| c.ending.is_some()).count();
+        let closing = self.clients.values().filter(|c| c.closing_since.is_some()).count();
         if is_full {
-            let victim = self.oldest(id, Entry::lingers).or_else(|| self.dispensable(now, id)).unwrap_or(id);
+            let victim = self
+                .oldest(id, ClientEntry::lingering_since)
+                .or_else(|| self.find_evictable(now, id))
+                .unwrap_or(id);
             self.clients.remove(&victim);
             return Some(victim);
         }
-        if self.clients.len() - ending <= self.room - self.room / LINGER_PART {
+        if self.clients.len() - closing <= self.capacity - self.capacity / LINGERING_DIVISOR {
             return None;
         }
-        self.dispensable(now, id)
+        self.find_evictable(now, id)
     }
 
-    /// Whether a newcomer would find room, be it in another's place.
+    /// Whether a new connection would find room, possibly by evicting another one.
     ///
-    /// Danger: one that is taken and turned away has written its request by then, and is answered by a reset. One that is
-    /// not taken yet waits in the system's queue, for less than the time of a request.
-    pub fn has_room(&self, now: f64) -> bool {
-        let any_lingers = || self.clients.values().any(|c| c.lingers().is_some());
-        !self.is_full() || any_lingers() || self.dispensable(now, ClientId::MAX).is_some()
+    /// A connection that is accepted and then rejected has already written its request, which is answered by
+    /// a reset. A connection that is not accepted waits in the kernel's queue instead, for less time than a
+    /// request may take.
+    pub fn can_accept(&self, now: f64) -> bool {
+        let any_lingering = || self.clients.values().any(|c| c.lingering_since().is_some());
+        !self.is_full() || any_lingering() || self.find_evictable(now, ClientId::MAX).is_some()
     }
 
-    fn oldest(&self, but: ClientId, pick: impl Fn(&Entry) -> Option<f64>) -> Option<ClientId> {
-        let times = self.clients.iter().filter(|(other, _)| **other != but);
+    fn oldest(&self, except: ClientId, pick: impl Fn(&ClientEntry) -> Option<f64>) -> Option<ClientId> {
+        let times = self.clients.iter().filter(|(other, _)| **other != except);
         let times = times.filter_map(|(other, c)| pick(c).map(|t| (t, *other)));
         times.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, other)| other)
     }
 
-    fn dispensable(&self, now: f64, but: ClientId) -> Option<ClientId> {
-        let rests = |c: &Entry| c.open == 0 && c.ending.is_none();
-        let silent = |c: &Entry| (c.last.is_none() && rests(c)).then_some(c.since);
-        let idle = |c: &Entry| c.last.filter(|last| rests(c) && c.partial.is_none() && now - last >= IDLE_MS);
-        self.oldest(but, silent).or_else(|| self.oldest(but, idle))
+    fn find_evictable(&self, now: f64, except: ClientId) -> Option<ClientId> {
+        let is_idle = |c: &ClientEntry| c.open_commands == 0 && c.closing_since.is_none();
+        let silent = |c: &ClientEntry| (c.last_active.is_none() && is_idle(c)).then_some(c.connected_at);
+        let idle = |c: &ClientEntry| {
+            c.last_active.filter(|active| {
+                is_idle(c) && c.partial_since.is_none() && now - active >= MIN_EVICTABLE_IDLE_MS
+            })
+        };
+        self.oldest(except, silent).or_else(|| self.oldest(except, idle))
     }
 
-    /// The host ends one: it takes no more commands, and is held until it is gone.
-    pub fn ending(&mut self, now: f64, id: ClientId) {
+    /// Marks a connection as being closed by the host: it takes no more commands but is held until it is
+    /// closed.
+    pub fn begin_close(&mut self, now: f64, id: ClientId) {
         if let Some(c) = self.clients.get_mut(&id) {
-            c.ending.get_or_insert(now);
+            c.closing_since.get_or_insert(now);
         }
     }
 
-    /// Some of what one was answered has not left the write buffer, or all of it has.
-    pub fn flushing(&mut self, id: ClientId, is_flushing: bool) {
+    /// Records whether part of the replies of a connection is still in its write buffer.
+    pub fn set_flushing(&mut self, id: ClientId, is_flushing: bool) {
         if let Some(c) = self.clients.get_mut(&id) {
             c.is_flushing = is_flushing;
         }
     }
 
-    /// Whether one is held.
-    pub fn holds(&self, id: ClientId) -> bool {
+    /// Whether the table holds a connection.
+    pub fn contains(&self, id: ClientId) -> bool {
         self.clients.contains_key(&id)
     }
 
-    /// A whole command came. False: the connection was given up, and the command is not taken.
-    pub fn began(&mut self, now: f64, id: ClientId) -> bool {
-        let Some(c) = self.clients.get_mut(&id).filter(|c| c.ending.is_none()) else { return false };
-        (c.open, c.last, c.partial) = (c.open + 1, Some(now), None);
+    /// Records a complete command. Returns `false` if the connection is being closed or is gone, in which
+    /// case the command must not be executed.
+    pub fn command_received(&mut self, now: f64, id: ClientId) -> bool {
+        let Some(c) = self.clients.get_mut(&id).filter(|c| c.closing_since.is_none()) else { return false };
+        (c.open_commands, c.last_active, c.partial_since) = (c.open_commands + 1, Some(now), None);
         true
     }
 
-    /// One has its answer.
-    pub fn answered(&mut self, now: f64, id: ClientId) {
-        if let Some(g) = self.clients.get_mut(&id) {
-            (g.open, g.last) = (g.open.saturating_sub(1), Some(now));
+    /// Records that a command was answered.
+    pub fn command_answered(&mut self, now: f64, id: ClientId) {
+        if let Some(c) = self.clients.get_mut(&id) {
+            (c.open_commands, c.last_active) = (c.open_commands.saturating_sub(1), Some(now));
         }
     }
 
-    /// A command has begun and its end has not come.
-    pub fn partial(&mut self, now: f64, id: ClientId) {
-        if let Some(g) = self.clients.get_mut(&id) {
-            g.partial.get_or_insert(now);
+    /// Records that a command has been received in part.
+    pub fn partial_received(&mut self, now: f64, id: ClientId) {
+        if let Some(c) = self.clients.get_mut(&id) {
+            c.partial_since.get_or_insert(now);
         }
     }
 
-    /// A command made no sense; the error is its answer.
-    pub fn fault(&mut self, id: ClientId) -> AfterFault {
-        let Some(g) = self.clients.get_mut(&id) else { return AfterFault::Close };
-        g.faults += 1;
-        if g.faults >= FAULTS {
-            return AfterFault::Close;
+    /// Records an invalid command, which is answered with an error.
+    pub fn invalid_command(&mut self, id: ClientId) -> AfterError {
+        let Some(c) = self.clients.get_mut(&id) else { return AfterError::Close };
+        c.invalid_commands += 1;
+        if c.invalid_commands >= MAX_INVALID_COMMANDS {
+            return AfterError::Close;
         }
-        AfterFault::Pause((FIRST_PAUSE_MS << (g.faults - 1)).min(LONGEST_PAUSE_MS))
+        AfterError::Pause((MIN_ERROR_PAUSE_MS << (c.invalid_commands - 1)).min(MAX_ERROR_PAUSE_MS))
     }
 
-    /// It is gone.
-    pub fn left(&mut self, id: ClientId) {
+    /// Removes a closed connection.
+    pub fn remove(&mut self, id: ClientId) {
         self.clients.remove(&id);
     }
 
-    /// Those whose time is up.
+    /// Connections whose time for the first command or for the rest of a command has expired.
     pub fn overdue(&self, now: f64) -> Vec<ClientId> {
-        let over = |c: &Entry| {
-            let silent = c.last.is_none() && now - c.since >= SILENT_MS;
-            c.open == 0 && (silent || c.partial.is_some_and(|p| now - p >= PARTIAL_MS))
+        let over = |c: &ClientEntry| {
+            let silent = c.last_active.is_none() && now - c.connected_at >= FIRST_COMMAND_TIMEOUT_MS;
+            c.open_commands == 0
+                && (silent || c.partial_since.is_some_and(|p| now - p >= PARTIAL_COMMAND_TIMEOUT_MS))
         };
-        self.those(over)
+        self.select(over)
     }
 
-    /// Those with nothing open, when the host leaves.
+    /// Connections without open requests; they are closed when the host shuts down.
     pub fn idle(&self) -> Vec<ClientId> {
-        self.those(|c| c.open == 0)
+        self.select(|c| c.open_commands == 0)
     }
 
-    /// Those of them of which nothing is to be expected: no half of a command came, and they did not just arrive.
-    pub fn resting(&self, now: f64) -> Vec<ClientId> {
-        self.those(|c| {
-            let heard = c.last.is_some() || now - c.since >= GREETING_MS;
-            c.open == 0 && c.partial.is_none() && heard
+    /// Idle connections from which no request is expected: no command has been received in part, and they are
+    /// not new.
+    pub fn quiescent(&self, now: f64) -> Vec<ClientId> {
+        self.select(|c| {
+            let heard = c.last_active.is_some() || now - c.connected_at >= FIRST_COMMAND_GRACE_MS;
+            c.open_commands == 0 && c.partial_since.is_none() && heard
         })
     }
 
-    fn those(&self, pick: impl Fn(&Entry) -> bool) -> Vec<ClientId> {
-        let those = self.clients.iter().filter(|(_, c)| c.ending.is_none() && pick(c));
-        those.map(|(id, _)| *id).collect()
+    fn select(&self, pick: impl Fn(&ClientEntry) -> bool) -> Vec<ClientId> {
+        let selected = self.clients.iter().filter(|(_, c)| c.closing_since.is_none() && pick(c));
+        selected.map(|(id, _)| *id).collect()
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,179 +1,179 @@
-//! The file that the platform starts a host with: JSON, its names the platform's.
+//! The JSON configuration file that the platform starts a host with. The field names are the platform's.
 
-use crate::node_list::{parse_value, ListFault, Listing};
+use crate::node_list::{parse_value, NodeList, NodeListError};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What a host may use.
+/// Resources that a host may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// File descriptors, sockets included.
-    pub sockets: usize,
+    /// Number of file descriptors, including sockets.
+    pub descriptors: usize,
 }
 
-/// What the settings say of connections to nodes.
+/// Settings of the connections to nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
-    /// Requests that one connection carries at once.
-    pub streams: usize,
-    /// A node closes what has stood idle so long.
-    pub idle_ms: f64,
-    /// Time for a connection to come up.
-    pub connect_ms: f64,
+pub struct LinkSettings {
+    /// Maximum number of requests in flight on one connection.
+    pub max_in_flight: usize,
+    /// Time after which a node closes an idle connection, in milliseconds.
+    pub idle_timeout_ms: f64,
+    /// Time limit for connecting, in milliseconds.
+    pub connect_timeout_ms: f64,
 }
 
-/// Names of classes and plans by position, and what they allow.
+/// Names and bounds that client requests are validated against. Classes and plans are indexed by position.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestSchema {
-    /// Classes.
-    pub classes: Vec<ClassWord>,
-    /// Plans.
+    /// The request classes.
+    pub classes: Vec<ClassSchema>,
+    /// Names of the service plans.
     pub plans: Vec<String>,
-    /// Shards, counted from 0; 0 where not told.
-    pub shards: u16,
-    /// Most units of a request.
+    /// Number of shards, which are numbered from 0; 0 if not configured.
+    pub shard_count: u16,
+    /// Maximum cost of a request in units.
     pub max_units: f64,
 }
 
-/// A class as requests name it.
+/// A request class as requests refer to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassWord {
-    /// Its name.
+pub struct ClassSchema {
+    /// Name of the class.
     pub name: String,
-    /// Whether its requests carry a key.
-    pub keyed: bool,
-    /// Whether it writes; `None` where not told.
-    pub writes: Option<bool>,
+    /// Whether requests of this class must carry an idempotency key.
+    pub requires_key: bool,
+    /// Whether the class is for writes; `None` if not configured.
+    pub is_write: Option<bool>,
 }
 
-/// Everything a host is started with.
+/// The complete configuration of a host.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The host's name, the same after a restart.
+    /// Name of the host, unchanged across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generator, new at each start.
     pub seed: u64,
-    /// What the host may use.
+    /// Resources that the host may use.
     pub limits: Limits,
-    /// The list of nodes as this host last had it.
-    pub known: Listing,
-    /// What the module is told.
-    pub module: pearfork::Settings,
-    /// Connections to nodes.
-    pub links: Links,
-    /// Names in requests.
-    pub words: RequestSchema,
+    /// The last node list that this host received before it was restarted.
+    pub cached_nodes: NodeList,
+    /// Settings of the scheduler.
+    pub scheduler: pearfork::Settings,
+    /// Settings of the connections to nodes.
+    pub links: LinkSettings,
+    /// Names and bounds that requests are validated against.
+    pub schema: RequestSchema,
 }
 
-/// What is wrong with a configuration.
+/// Error in a configuration file.
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigFault {
-    /// It is no JSON; the text names line and column.
+pub enum ConfigError {
+    /// Not valid JSON; the text gives line and column.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is missing.
+    /// A required field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field makes no sense.
-    #[error("{field} makes no sense: {found}")]
-    Value {
-        /// Which.
+    /// A field has an invalid value.
+    #[error("{field} is invalid: {found}")]
+    InvalidValue {
+        /// Path of the field.
         field: &'static str,
-        /// What stands there.
+        /// Value found in the file.
         found: String,
     },
-    /// The settings object.
+    /// The settings object is invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// The list of nodes.
+    /// The stored node list is invalid.
     #[error("known: {0}")]
-    Known(#[from] ListFault),
+    NodeList(#[from] NodeListError),
 }
 
-fn at<'a>(v: &'a Value, path: &'static str) -> Result<&'a Value, ConfigFault> {
-    path.split('.').try_fold(v, |v, key| v.get(key)).ok_or(ConfigFault::Missing(path))
+fn field<'a>(v: &'a Value, path: &'static str) -> Result<&'a Value, ConfigError> {
+    path.split('.').try_fold(v, |v, key| v.get(key)).ok_or(ConfigError::Missing(path))
 }
 
-fn bad(field: &'static str, found: &Value) -> ConfigFault {
-    ConfigFault::Value { field, found: found.to_string() }
+fn invalid(field: &'static str, found: &Value) -> ConfigError {
+    ConfigError::InvalidValue { field, found: found.to_string() }
 }
 
-fn address(v: &Value, path: &'static str) -> Result<SocketAddr, ConfigFault> {
-    let found = at(v, path)?;
-    found.as_str().and_then(|s| s.parse().ok()).ok_or_else(|| bad(path, found))
+fn address(v: &Value, path: &'static str) -> Result<SocketAddr, ConfigError> {
+    let found = field(v, path)?;
+    found.as_str().and_then(|s| s.parse().ok()).ok_or_else(|| invalid(path, found))
 }
 
-fn figure(v: &Value, path: &'static str) -> Result<f64, ConfigFault> {
-    let found = at(v, path)?;
-    found.as_f64().filter(|n| n.is_finite() && *n > 0.0).ok_or_else(|| bad(path, found))
+fn positive_number(v: &Value, path: &'static str) -> Result<f64, ConfigError> {
+    let found = field(v, path)?;
+    found.as_f64().filter(|n| n.is_finite() && *n > 0.0).ok_or_else(|| invalid(path, found))
 }
 
-/// The name that an entry of a list of the settings goes by.
-fn named(v: &Value, field: &'static str) -> Result<String, ConfigFault> {
-    v.get("Name").and_then(Value::as_str).map(str::to_owned).ok_or_else(|| bad(field, v))
+/// Returns the name of an entry in a list of the settings.
+fn entry_name(v: &Value, field: &'static str) -> Result<String, ConfigError> {
+    v.get("Name").and_then(Value::as_str).map(str::to_owned).ok_or_else(|| invalid(field, v))
 }
 
-fn words(settings: &Value, module: &pearfork::Settings) -> Result<RequestSchema, ConfigFault> {
+fn request_schema(settings: &Value, scheduler: &pearfork::Settings) -> Result<RequestSchema, ConfigError> {
     let list = |path| settings.get(path).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
-    let writes = settings.pointer("/Domain/ClassWrites").and_then(Value::as_array);
+    let is_write = settings.pointer("/Domain/ClassWrites").and_then(Value::as_array);
     let mut classes = Vec::new();
     for (i, v) in list("Classes").iter().enumerate() {
-        classes.push(ClassWord {
-            name: named(v, "settings.Classes.Name")?,
-            keyed: module.classes.get(i).is_some_and(|c| c.effect == pearfork::Effect::Keyed),
-            writes: writes.and_then(|w| w.get(i)).and_then(Value::as_bool),
+        classes.push(ClassSchema {
+            name: entry_name(v, "settings.Classes.Name")?,
+            requires_key: scheduler.classes.get(i).is_some_and(|c| c.effect == pearfork::Effect::Keyed),
+            is_write: is_write.and_then(|w| w.get(i)).and_then(Value::as_bool),
         });
     }
     let plans =
-        list("Plans").iter().map(|v| named(v, "settings.Plans.Name")).collect::<Result<Vec<_>, _>>()?;
-    let shards = settings.pointer("/Domain/SlotsTotal").and_then(Value::as_u64).unwrap_or(0);
+        list("Plans").iter().map(|v| entry_name(v, "settings.Plans.Name")).collect::<Result<Vec<_>, _>>()?;
+    let shard_count = settings.pointer("/Domain/SlotsTotal").and_then(Value::as_u64).unwrap_or(0);
     Ok(RequestSchema {
         classes,
         plans,
-        shards: u16::try_from(shards).unwrap_or(u16::MAX),
-        max_units: module.max_units,
+        shard_count: u16::try_from(shard_count).unwrap_or(u16::MAX),
+        max_units: scheduler.max_units,
     })
 }
 
 impl Config {
-    /// Reads the file. Names that this version does not know are the platform's own and are passed over.
+    /// Parses a configuration file. Unknown fields belong to the platform and are ignored.
     ///
     /// # Errors
-    /// The field at fault.
-    pub fn parse(text: &[u8]) -> Result<Config, ConfigFault> {
+    /// Names the invalid field.
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let v: Value = serde_json::from_slice(text)?;
         let text_of = |path: &'static str| {
-            let found = at(&v, path)?;
-            found.as_str().ok_or_else(|| bad(path, found))
+            let found = field(&v, path)?;
+            found.as_str().ok_or_else(|| invalid(path, found))
         };
         let seed = text_of("seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| bad("seed", &v["seed"]))?;
-        let settings = at(&v, "settings")?;
-        let (module, _) = pearfork_site::read_value(settings).map_err(ConfigFault::Settings)?;
-        module.check().map_err(|e| ConfigFault::Settings(e.to_string()))?;
-        let words = words(settings, &module)?;
-        let known = match v.get("known") {
+        let seed = u64::from_str_radix(seed, 16).map_err(|_| invalid("seed", &v["seed"]))?;
+        let settings = field(&v, "settings")?;
+        let (scheduler, _) = pearfork_site::read_value(settings).map_err(ConfigError::Settings)?;
+        scheduler.check().map_err(|e| ConfigError::Settings(e.to_string()))?;
+        let schema = request_schema(settings, &scheduler)?;
+        let cached_nodes = match v.get("known") {
             Some(known) if !known.is_null() => parse_value(known)?,
-            _ => Listing::default(),
+            _ => NodeList::default(),
         };
         Ok(Config {
             name: text_of("name")?.to_owned(),
             listen: address(&v, "listen")?,
             discovery: address(&v, "discovery")?,
             seed,
-            limits: Limits { sockets: figure(&v, "limits.sockets")? as usize },
-            known,
-            links: Links {
-                streams: (figure(settings, "Limits.StreamsPerConn")? as usize).max(1),
-                idle_ms: figure(settings, "Limits.ConnIdleMs")?,
-                connect_ms: figure(settings, "Limits.ConnectTimeoutMs")?,
+            limits: Limits { descriptors: positive_number(&v, "limits.sockets")? as usize },
+            cached_nodes,
+            links: LinkSettings {
+                max_in_flight: (positive_number(settings, "Limits.StreamsPerConn")? as usize).max(1),
+                idle_timeout_ms: positive_number(settings, "Limits.ConnIdleMs")?,
+                connect_timeout_ms: positive_number(settings, "Limits.ConnectTimeoutMs")?,
             },
-            module,
-            words,
+            scheduler,
+            schema,
         })
     }
 }
--- a/crates/platform/src/idle_loss.rs
+++ b/crates/platform/src/idle_loss.rs
@@ -1,88 +1,96 @@
-//! How long a connection may rest and still be of use, learnt from what became of those that did.
+//! Learns how long a link may stay idle before attempts on it get lost.
 //!
-//! A machine may drop a connection that stands idle without a word; what is written on it then ends as a reset, and may
-//! have run. The settings state the time after which it does so at the latest. How much sooner it does is seen here: a
-//! new connection costs a round trip or three, a lost attempt its request's time and, where a repeat does harm, the request.
+//! A network may drop an idle connection without notice. An attempt written on it ends as a reset and may
+//! have run. The settings state when idle connections are dropped at the latest; the actual time is learned
+//! here from the outcome of attempts. A new connection costs one to three round trips; a lost attempt costs
+//! its request time, and fails the request if a retry could do harm.
 
-/// Rests are told apart by powers of two of a millisecond: below 1, 2, 4, ... 65,536.
-const STEPS: usize = 17;
-/// What was seen counts half after so long, so that a rest once found too long is tried again.
-const HALF_MS: f64 = 10_000.0;
-/// A rest is too long where this much more of what was written after it was lost than after shorter ones.
-const WORSE: f64 = 0.1;
-/// Fewer samples than this tell nothing.
-const SEEN: f64 = 8.0;
+/// Idle times are grouped by powers of two of a millisecond: below 1, 2, 4, ... 32,768, and above.
+const BUCKETS: usize = 17;
+/// Half-life of recorded outcomes, so that an idle time once found too long is tried again.
+const HALF_LIFE_MS: f64 = 10_000.0;
+/// An idle time is too long if its loss rate exceeds that of shorter idle times by this much.
+const MIN_EXCESS_LOSS: f64 = 0.1;
+/// Minimum number of outcomes on both sides of a limit.
+const MIN_OUTCOMES: f64 = 8.0;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
+struct Outcomes {
     lost: f64,
-    all: f64,
+    total: f64,
 }
 
-impl Fate {
-    fn part(self) -> f64 {
-        self.lost / self.all.max(1.0)
+impl Outcomes {
+    fn loss_rate(self) -> f64 {
+        self.lost / self.total.max(1.0)
     }
 }
 
-/// What became of attempts by the rest of their connections.
+/// Outcomes of attempts by the idle time of their links.
 #[derive(Debug)]
-pub struct Rests {
-    fates: [Fate; STEPS],
-    at: f64,
+pub struct IdleLoss {
+    buckets: [Outcomes; BUCKETS],
+    decayed_at: f64,
     limit: f64,
 }
 
-impl Default for Rests {
+impl Default for IdleLoss {
     fn default() -> Self {
-        Rests { fates: Default::default(), at: 0.0, limit: f64::INFINITY }
+        IdleLoss { buckets: Default::default(), decayed_at: 0.0, limit: f64::INFINITY }
     }
 }
 
-fn step(rest_ms: f64) -> usize {
-    (0..STEPS - 1).find(|step| rest_ms < f64::from(1u32 << step)).unwrap_or(STEPS - 1)
+fn bucket(idle_ms: f64) -> usize {
+    (0..BUCKETS - 1).find(|bucket| idle_ms < f64::from(1u32 << bucket)).unwrap_or(BUCKETS - 1)
 }
 
-impl Rests {
-    /// An attempt was written on a connection that had rested so long (0: a new one); it was answered, or lost with
-    /// its connection.
-    pub fn note(&mut self, rest_ms: f64, lost: bool) {
-        let fate = &mut self.fates[step(rest_ms)];
-        fate.all += 1.0;
-        fate.lost += f64::from(u8::from(lost));
-        self.judge();
+impl IdleLoss {
+    /// Records whether an attempt was lost that was written on a link after `idle_ms` without use (0 for a
+    /// new link).
+    pub fn record(&mut self, idle_ms: f64, lost: bool) {
+        let outcomes = &mut self.buckets[bucket(idle_ms)];
+        outcomes.total += 1.0;
+        outcomes.lost += f64::from(u8::from(lost));
+        self.update_limit();
     }
 
-    /// Lets what was seen fade; times are the caller's, milliseconds.
-    pub fn fade(&mut self, now: f64) {
-        let left = 0.5f64.powf((now - self.at).max(0.0) / HALF_MS);
-        self.at = now;
-        for fate in &mut self.fates {
-            (fate.lost, fate.all) = (fate.lost * left, fate.all * left);
+    /// Applies the half-life. `now` is the caller's time in milliseconds.
+    pub fn decay(&mut self, now: f64) {
+        let remaining = 0.5f64.powf((now - self.decayed_at).max(0.0) / HALF_LIFE_MS);
+        self.decayed_at = now;
+        for outcomes in &mut self.buckets {
+            (outcomes.lost, outcomes.total) = (outcomes.lost * remaining, outcomes.total * remaining);
         }
-        self.judge();
+        self.update_limit();
     }
 
-    /// From this rest on a connection is not used again, milliseconds; infinite where none was found too long.
+    /// Idle time in milliseconds from which a link is not used again; infinite if no idle time was found too
+    /// long.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// The shortest rest from which on clearly more is lost than below.
-    fn judge(&mut self) {
-        let sum = |of: &[Fate]| {
-            of.iter().fold(Fate::default(), |a, f| Fate { lost: a.lost + f.lost, all: a.all + f.all })
+    /// Finds the shortest idle time from which the loss rate is clearly higher than below it.
+    fn update_limit(&mut self) {
+        let sum = |of: &[Outcomes]| {
+            of.iter().fold(Outcomes::default(), |a, f| Outcomes {
+                lost: a.lost + f.lost,
+                total: a.total + f.total,
+            })
         };
-        let worse = |split: &usize| {
-            let (below, from) = (sum(&self.fates[..*split]), sum(&self.fates[*split..]));
-            from.all >= SEEN && below.all >= SEEN && from.part() > below.part() + WORSE
+        let is_worse = |split: &usize| {
+            let (below, from) = (sum(&self.buckets[..*split]), sum(&self.buckets[*split..]));
+            from.total >= MIN_OUTCOMES
+                && below.total >= MIN_OUTCOMES
+                && from.loss_rate() > below.loss_rate() + MIN_EXCESS_LOSS
         };
-        // The split that tells most: where several do, what lies below it is all of use.
-        let gain = |split: &usize| {
-            let (below, from) = (sum(&self.fates[..*split]), sum(&self.fates[*split..]));
-            (from.part() - below.part()) * from.all.sqrt()
+        // Prefers the most significant split. If several are significant, all idle times below the chosen one
+        // are usable.
+        let significance = |split: &usize| {
+            let (below, from) = (sum(&self.buckets[..*split]), sum(&self.buckets[*split..]));
+            (from.loss_rate() - below.loss_rate()) * from.total.sqrt()
         };
-        let split = (1..STEPS).filter(worse).max_by(|a, b| gain(a).total_cmp(&gain(b)));
+        let split = (1..BUCKETS).filter(is_worse).max_by(|a, b| significance(a).total_cmp(&significance(b)));
         self.limit = split.map_or(f64::INFINITY, |split| f64::from(1u32 << (split - 1)));
     }
 }
@@ -91,52 +99,53 @@
 mod tests {
     use super::*;
 
-    fn seen(rests: &mut Rests, rest: f64, lost: usize, of: usize) {
-        (0..of).for_each(|i| rests.note(rest, i < lost));
+    fn record_many(idle_loss: &mut IdleLoss, idle_ms: f64, lost: usize, of: usize) {
+        (0..of).for_each(|i| idle_loss.record(idle_ms, i < lost));
     }
 
     #[test]
-    fn nothing_is_too_long_while_nothing_is_lost_or_all_rests_lose_alike() {
-        let mut rests = Rests::default();
-        for rest in [0.0, 3.0, 50.0, 300.0, 5_000.0] {
-            seen(&mut rests, rest, 0, 50);
+    fn there_is_no_limit_if_the_loss_rate_is_the_same_for_all_idle_times() {
+        let mut idle_loss = IdleLoss::default();
+        for idle_ms in [0.0, 3.0, 50.0, 300.0, 5_000.0] {
+            record_many(&mut idle_loss, idle_ms, 0, 50);
         }
-        assert_eq!(rests.limit(), f64::INFINITY);
-        for rest in [0.0, 3.0, 50.0, 300.0, 5_000.0] {
-            seen(&mut rests, rest, 5, 50);
+        assert_eq!(idle_loss.limit(), f64::INFINITY);
+        for idle_ms in [0.0, 3.0, 50.0, 300.0, 5_000.0] {
+            record_many(&mut idle_loss, idle_ms, 5, 50);
         }
-        assert_eq!(rests.limit(), f64::INFINITY);
+        assert_eq!(idle_loss.limit(), f64::INFINITY);
     }
 
-    /// Danger: a machine that drops idle connections sooner than stated costs every request after a pause an attempt.
+    /// Guards against a network that drops idle connections earlier than configured: every request after a
+    /// pause would lose an attempt.
     #[test]
-    fn the_rest_from_which_on_attempts_are_lost_is_found_and_forgotten_again() {
-        let mut rests = Rests::default();
-        seen(&mut rests, 0.0, 7, 100);
-        for rest in [1.5, 10.0, 40.0, 100.0] {
-            seen(&mut rests, rest, 3, 40);
+    fn the_idle_time_from_which_attempts_are_lost_is_found_and_later_forgotten() {
+        let mut idle_loss = IdleLoss::default();
+        record_many(&mut idle_loss, 0.0, 7, 100);
+        for idle_ms in [1.5, 10.0, 40.0, 100.0] {
+            record_many(&mut idle_loss, idle_ms, 3, 40);
         }
-        for rest in [150.0, 300.0, 700.0] {
-            seen(&mut rests, rest, 20, 50);
+        for idle_ms in [150.0, 300.0, 700.0] {
+            record_many(&mut idle_loss, idle_ms, 20, 50);
         }
-        assert_eq!(rests.limit(), 128.0);
-        rests.fade(1.0);
-        rests.fade(20_000.0);
-        assert_eq!(rests.limit(), 128.0);
-        rests.fade(80_000.0);
-        assert_eq!(rests.limit(), f64::INFINITY, "tried again after a while");
+        assert_eq!(idle_loss.limit(), 128.0);
+        idle_loss.decay(1.0);
+        idle_loss.decay(20_000.0);
+        assert_eq!(idle_loss.limit(), 128.0);
+        idle_loss.decay(80_000.0);
+        assert_eq!(idle_loss.limit(), f64::INFINITY, "tried again after a while");
     }
 
     #[test]
-    fn a_few_losses_tell_nothing_and_no_figure_ends_it() {
-        let mut rests = Rests::default();
-        seen(&mut rests, 0.0, 0, 100);
-        seen(&mut rests, 500.0, 4, 4);
-        assert_eq!(rests.limit(), f64::INFINITY);
+    fn few_losses_set_no_limit_and_odd_numbers_cause_no_panic() {
+        let mut idle_loss = IdleLoss::default();
+        record_many(&mut idle_loss, 0.0, 0, 100);
+        record_many(&mut idle_loss, 500.0, 4, 4);
+        assert_eq!(idle_loss.limit(), f64::INFINITY);
         for odd in [f64::NAN, -1.0, f64::INFINITY, 1e300] {
-            rests.note(odd, true);
-            rests.fade(odd);
+            idle_loss.record(odd, true);
+            idle_loss.decay(odd);
         }
-        assert!(!rests.limit().is_nan());
+        assert!(!idle_loss.limit().is_nan());
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,15 @@
-//! What passes between a host and its platform, and what is decided about connections; no I/O, no clock.
+//! The platform's protocol and the decisions about connections, without I/O or a clock.
 //!
-//! [`config`]: the file that a host is started with. [`request`]: a client's command. [`node_reply`]: a node's reply.
-//! [`node_list`]: discovery's list. [`clients`]: which client connections stay; [`lifecycle`]: how one of
-//! them passes from its arrival to its end. [`pool`]: which connection to a node
-//! carries an attempt, by what [`idle_loss`] learns of those that stood idle. Requests are judged by the module alone; table and pool judge connections.
+//! - [`config`]: the configuration file that a host is started with.
+//! - [`request`]: commands of clients.
+//! - [`node_reply`]: replies of nodes.
+//! - [`node_list`]: the node list that discovery returns.
+//! - [`clients`]: which client connections are kept when descriptors run short.
+//! - [`lifecycle`]: the state machine of one client connection.
+//! - [`pool`]: which connection to a node carries an attempt.
+//! - [`idle_loss`]: how long a connection may stay idle before attempts on it get lost.
+//!
+//! Requests are admitted and scheduled by the scheduler alone; this crate decides about connections only.
 
 pub mod clients;
 pub mod config;
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -1,144 +1,154 @@
-//! The life of a client connection, from its arrival to its last byte. No I/O, no clock: times are the caller's.
+//! State machine of a client connection, from accept to close. No I/O and no clock: the caller passes times
+//! in milliseconds.
 //!
-//! Every end that the host chooses (idle, silent, for room, after nonsense, at its own end) is one lingering close: the
-//! answers that are owed go out first, then the sending side is ended, and what still arrives is read and thrown away for
-//! a while. Danger: a close over bytes that nobody read resets the connection, and takes answers with it that are still
-//! on their way; and a request that is read after the end and sent on is lost, since its client sends it once more.
+//! Whatever the reason for which the host closes a connection (idle, no command, eviction, invalid commands,
+//! shutdown), it does so by a lingering close: it sends the outstanding replies, shuts down the sending side,
+//! and then reads and discards incoming data for a while. Closing a socket with unread data would reset the
+//! connection and destroy replies in transit. A request that arrives after the sending side was shut down
+//! must not be executed, because its client sends it again.
 
-/// Time for what was answered to leave the write buffer, milliseconds: a client that reads nothing gets no more.
-const FLUSH_MS: f64 = 3_000.0;
-/// Most bytes that are read and thrown away.
-const DISCARDED: usize = 256 * 1024;
+/// Time limit for emptying the write buffer, in milliseconds. A client that does not read is sent nothing
+/// more.
+const FLUSH_TIMEOUT_MS: f64 = 3_000.0;
+/// Maximum number of bytes that are read and discarded.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// Where a connection stands.
+/// State of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// Its commands are read.
+    /// Commands are read.
     Reading,
-    /// As many of its commands are open as may be; nothing is read.
-    Full,
-    /// What made no sense is followed by a pause, up to this moment.
+    /// The maximum number of commands is open, so nothing is read.
+    AtRequestLimit,
+    /// Nothing is read until the given time, after an invalid command.
     Paused(f64),
-    /// No command is taken any more; answers are still owed.
-    Ending,
-    /// All is answered, and some of it has not left the write buffer; it is given up at this moment.
+    /// No further commands are accepted; replies are still outstanding.
+    AwaitingReplies,
+    /// All commands are answered, but part of the replies is in the write buffer. The connection is closed at
+    /// the given time.
     Flushing(f64),
-    /// The sending side is ended; what comes is thrown away, up to this moment and so many bytes.
+    /// The sending side is shut down; incoming data is discarded up to the given time and number of bytes.
     Lingering(f64, usize),
-    /// Over.
+    /// Closed.
     Closed,
 }
 
-/// What happens to it.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// As many commands are open as may be.
-    Full,
-    /// There is room for commands again.
-    Room,
-    /// A command made no sense: nothing is read before this moment.
+    /// The maximum number of commands is open.
+    LimitReached,
+    /// Another command may be accepted.
+    BelowLimit,
+    /// An invalid command was received: read nothing until the given time.
     Pause(f64),
-    /// The host ends it. What was taken is still answered.
-    End,
-    /// Nothing is owed any more.
-    Answered,
-    /// Nothing waits in the write buffer.
+    /// The host closes the connection. Accepted commands are still answered.
+    Close,
+    /// No replies are outstanding.
+    AllAnswered,
+    /// The write buffer is empty.
     Flushed,
-    /// So many bytes were thrown away.
+    /// The given number of bytes was read and discarded.
     Discarded(usize),
-    /// The client ended its side, or the connection broke: the client has gone.
-    Gone,
-    /// Its descriptor is needed at once.
+    /// The client shut down its sending side, or the connection failed.
+    Disconnected,
+    /// The descriptor of the connection is needed at once.
     Evicted,
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
-/// What is to be done about it.
+/// Output of the state machine: what the caller has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Nothing.
     None,
-    /// End the sending side.
-    EndSending,
-    /// Close it; whatever of it is open has lost its client.
+    /// Shut down the sending side.
+    ShutdownWrite,
+    /// Close the socket. Requests still open on the connection have lost their client.
     Close,
 }
 
-/// One connection's life.
+/// The lifecycle of one client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Life {
+pub struct Lifecycle {
     state: State,
 }
 
-impl Default for Life {
+impl Default for Lifecycle {
     fn default() -> Self {
-        Life { state: State::Reading }
+        Lifecycle { state: State::Reading }
     }
 }
 
-impl Life {
-    /// Where it stands.
+impl Lifecycle {
+    /// Current state.
     pub fn state(self) -> State {
         self.state
     }
 
-    /// Whether commands are read and taken.
-    pub fn takes_commands(self) -> bool {
+    /// Whether commands are read and accepted.
+    pub fn accepts_commands(self) -> bool {
         self.state == State::Reading
     }
 
-    /// Whether bytes are read at all, be it to throw them away.
+    /// Whether bytes are read at all, including those that are discarded.
     pub fn reads(self) -> bool {
         matches!(self.state, State::Reading | State::Lingering(..))
     }
 
-    /// Whether it is on its way out by the host's own choice.
-    pub fn is_ending(self) -> bool {
-        matches!(self.state, State::Ending | State::Flushing(_) | State::Lingering(..))
+    /// Whether the host is closing the connection.
+    pub fn is_closing(self) -> bool {
+        matches!(self.state, State::AwaitingReplies | State::Flushing(_) | State::Lingering(..))
     }
 
-    /// When it has to be looked at again, whatever else happens.
-    pub fn due(self) -> Option<f64> {
+    /// Time of the next [`Event::Tick`] that may change the state.
+    pub fn next_due(self) -> Option<f64> {
         match self.state {
             State::Paused(at) | State::Flushing(at) | State::Lingering(at, _) => Some(at),
-            State::Reading | State::Full | State::Ending | State::Closed => None,
+            State::Reading | State::AtRequestLimit | State::AwaitingReplies | State::Closed => None,
         }
     }
 
-    /// Something happens. `linger_ms`: how long what arrives after the end is read.
-    pub fn on(&mut self, now: f64, linger_ms: f64, event: Event) -> Effect {
+    /// Processes an event. Data that arrives after the sending side was shut down is read for `linger_ms`.
+    pub fn handle(&mut self, now: f64, linger_ms: f64, event: Event) -> Effect {
         use {Event as E, State as S};
         let (state, effect) = match (self.state, event) {
             (S::Closed, _) => (S::Closed, Effect::None),
-            (_, E::Gone | E::Evicted) => (S::Closed, Effect::Close),
-            (S::Reading, E::Full) => (S::Full, Effect::None),
-            (S::Full, E::Room) => (S::Reading, Effect::None),
+            (_, E::Disconnected | E::Evicted) => (S::Closed, Effect::Close),
+            (S::Reading, E::LimitReached) => (S::AtRequestLimit, Effect::None),
+            (S::AtRequestLimit, E::BelowLimit) => (S::Reading, Effect::None),
             (S::Reading, E::Pause(until)) => (S::Paused(until), Effect::None),
             (S::Paused(until), E::Tick) if now >= until => (S::Reading, Effect::None),
-            (S::Reading | S::Full | S::Paused(_), E::End) => (S::Ending, Effect::None),
-            (S::Ending, E::Answered) => (S::Flushing(now + FLUSH_MS), Effect::None),
-            (S::Flushing(_), E::Flushed) => (S::Lingering(now + linger_ms, DISCARDED), Effect::EndSending),
+            (S::Reading | S::AtRequestLimit | S::Paused(_), E::Close) => (S::AwaitingReplies, Effect::None),
+            (S::AwaitingReplies, E::AllAnswered) => (S::Flushing(now + FLUSH_TIMEOUT_MS), Effect::None),
+            (S::Flushing(_), E::Flushed) => {
+                (S::Lingering(now + linger_ms, MAX_DISCARDED_BYTES), Effect::ShutdownWrite)
+            }
             (S::Flushing(until), E::Tick) if now >= until => (S::Closed, Effect::Close),
-            (S::Lingering(until, left), E::Discarded(n)) if n < left => {
-                (S::Lingering(until, left - n), Effect::None)
+            (S::Lingering(until, remaining), E::Discarded(n)) if n < remaining => {
+                (S::Lingering(until, remaining - n), Effect::None)
             }
             (S::Lingering(..), E::Discarded(_)) => (S::Closed, Effect::Close),
             (S::Lingering(until, _), E::Tick) if now >= until => (S::Closed, Effect::Close),
-            // The rest changes nothing. Each pair stands here, so that a new state or event has to be thought about.
-            (state @ (S::Reading | S::Full | S::Paused(_)), E::Answered | E::Flushed | E::Discarded(_)) => {
+            // All other pairs leave the state unchanged. They are listed in full so that a new state or event
+            // has to be considered here.
+            (
+                state @ (S::Reading | S::AtRequestLimit | S::Paused(_)),
+                E::AllAnswered | E::Flushed | E::Discarded(_),
+            ) => (state, Effect::None),
+            (state @ S::Reading, E::BelowLimit | E::Tick) => (state, Effect::None),
+            (state @ S::AtRequestLimit, E::LimitReached | E::Pause(_) | E::Tick) => (state, Effect::None),
+            (state @ S::Paused(_), E::LimitReached | E::BelowLimit | E::Pause(_) | E::Tick) => {
                 (state, Effect::None)
             }
-            (state @ S::Reading, E::Room | E::Tick) => (state, Effect::None),
-            (state @ S::Full, E::Full | E::Pause(_) | E::Tick) => (state, Effect::None),
-            (state @ S::Paused(_), E::Full | E::Room | E::Pause(_) | E::Tick) => (state, Effect::None),
             (
-                state @ (S::Ending | S::Flushing(_) | S::Lingering(..)),
-                E::Full
-                | E::Room
+                state @ (S::AwaitingReplies | S::Flushing(_) | S::Lingering(..)),
+                E::LimitReached
+                | E::BelowLimit
                 | E::Pause(_)
-                | E::End
-                | E::Answered
+                | E::Close
+                | E::AllAnswered
                 | E::Flushed
                 | E::Discarded(_)
                 | E::Tick,
--- a/crates/platform/src/node_list.rs
+++ b/crates/platform/src/node_list.rs
@@ -1,237 +1,245 @@
-//! Discovery's list, and the numbers under which the module knows its nodes.
+//! The node list of discovery, and the numbers by which the scheduler identifies nodes.
 
 use pearfork::{ListKind, NodeEntry, NodeState};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A line of the list.
+/// An entry of the node list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// Name of the node, equal at every host.
+pub struct NodeRecord {
+    /// Name of the node, the same on all hosts.
     pub name: String,
-    /// Where this host reaches it; `None` where the line says that it is gone.
-    pub dial: Option<SocketAddr>,
-    /// Its site.
+    /// Address at which this host reaches the node; `None` only for a node that is gone.
+    pub address: Option<SocketAddr>,
+    /// Site of the node, which the scheduler treats as its zone.
     pub site: String,
-    /// The shard that it holds.
-    pub block: u16,
-    /// Its state.
-    pub condition: NodeState,
-    /// Its last start, milliseconds of the Unix epoch; 0: long ago.
-    pub born_ms: f64,
+    /// The shard that the node holds.
+    pub shard: u16,
+    /// State of the node.
+    pub state: NodeState,
+    /// Time of the last start in milliseconds of the Unix epoch; 0 means long ago.
+    pub started_ms: f64,
 }
 
-/// An answer of discovery.
+/// A response of discovery.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
-    /// Version that this brings a host to.
-    pub seq: u64,
-    /// The whole list; otherwise the changed lines alone.
-    pub whole: bool,
-    /// The lines.
-    pub lines: Vec<Line>,
+pub struct NodeList {
+    /// Version of the list after this response has been applied.
+    pub version: u64,
+    /// Whether `nodes` is the full list; otherwise it holds only the changed entries.
+    pub is_full: bool,
+    /// The entries.
+    pub nodes: Vec<NodeRecord>,
 }
 
-/// What is wrong with a list.
+/// Error in a node list.
 #[derive(Debug, thiserror::Error)]
-pub enum ListFault {
-    /// It is no JSON.
+pub enum NodeListError {
+    /// Not valid JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is missing or makes no sense.
-    #[error("hosts[{line}].{field} makes no sense: {found}")]
-    Line {
-        /// Which line, from 0.
-        line: usize,
-        /// Which field.
+    /// A field of an entry is missing or invalid.
+    #[error("hosts[{index}].{field} is invalid: {found}")]
+    Node {
+        /// Index of the entry, from 0.
+        index: usize,
+        /// Name of the field.
         field: &'static str,
-        /// What stands there.
+        /// Value found.
         found: String,
     },
-    /// A field of the whole is missing or makes no sense.
-    #[error("{0} is missing or makes no sense")]
+    /// A top-level field is missing or invalid.
+    #[error("{0} is missing or invalid")]
     Field(&'static str),
 }
 
-/// Reads an answer of discovery.
+/// Parses a response of discovery.
 ///
 /// # Errors
-/// The line and field at fault; nothing of the list is used then.
-pub fn parse(body: &[u8]) -> Result<Listing, ListFault> {
+/// Names the invalid entry and field. Nothing of such a list may be used.
+pub fn parse(body: &[u8]) -> Result<NodeList, NodeListError> {
     parse_value(&serde_json::from_slice(body)?)
 }
 
-/// The same of what was parsed already.
+/// Same as [`parse`] for JSON that is already parsed.
 ///
 /// # Errors
-/// As [`parse`].
-pub fn parse_value(v: &Value) -> Result<Listing, ListFault> {
-    let seq = v.get("seq").and_then(Value::as_u64).ok_or(ListFault::Field("seq"))?;
-    let whole = v.get("whole").and_then(Value::as_bool).ok_or(ListFault::Field("whole"))?;
-    let hosts = v.get("hosts").and_then(Value::as_array).ok_or(ListFault::Field("hosts"))?;
-    let lines = hosts.iter().enumerate().map(|(i, h)| line(i, h)).collect::<Result<Vec<_>, _>>()?;
-    Ok(Listing { seq, whole, lines })
+/// Same as [`parse`].
+pub fn parse_value(v: &Value) -> Result<NodeList, NodeListError> {
+    let version = v.get("seq").and_then(Value::as_u64).ok_or(NodeListError::Field("seq"))?;
+    let is_full = v.get("whole").and_then(Value::as_bool).ok_or(NodeListError::Field("whole"))?;
+    let hosts = v.get("hosts").and_then(Value::as_array).ok_or(NodeListError::Field("hosts"))?;
+    let nodes = hosts.iter().enumerate().map(|(i, h)| parse_node(i, h)).collect::<Result<Vec<_>, _>>()?;
+    Ok(NodeList { version, is_full, nodes })
 }
 
-fn line(number: usize, v: &Value) -> Result<Line, ListFault> {
+fn parse_node(index: usize, v: &Value) -> Result<NodeRecord, NodeListError> {
     let get = |field: &'static str| v.get(field).unwrap_or(&Value::Null);
-    let bad = |field: &'static str| ListFault::Line { line: number, field, found: get(field).to_string() };
-    let condition = match get("health").as_str() {
+    let invalid = |field: &'static str| NodeListError::Node { index, field, found: get(field).to_string() };
+    let state = match get("health").as_str() {
         Some("SERVING") => NodeState::Ready,
         Some("DRAINING") => NodeState::Draining,
         Some("DELETED") => NodeState::Gone,
-        _ => return Err(bad("health")),
+        _ => return Err(invalid("health")),
     };
-    let gone = condition == NodeState::Gone;
-    let dial = get("dial").as_str().and_then(|s| s.parse().ok());
-    if dial.is_none() && !gone {
-        return Err(bad("dial"));
+    let gone = state == NodeState::Gone;
+    let address = get("dial").as_str().and_then(|s| s.parse().ok());
+    if address.is_none() && !gone {
+        return Err(invalid("dial"));
     }
-    let block = get("block").as_u64().and_then(|b| u16::try_from(b).ok());
-    let born_ms = get("born_ms").as_f64().filter(|b| b.is_finite() && *b >= 0.0);
-    Ok(Line {
-        name: get("host").as_str().filter(|n| !n.is_empty()).ok_or_else(|| bad("host"))?.to_owned(),
-        dial,
+    let shard = get("block").as_u64().and_then(|b| u16::try_from(b).ok());
+    let started_ms = get("born_ms").as_f64().filter(|b| b.is_finite() && *b >= 0.0);
+    Ok(NodeRecord {
+        name: get("host").as_str().filter(|n| !n.is_empty()).ok_or_else(|| invalid("host"))?.to_owned(),
+        address,
         site: get("site").as_str().unwrap_or("").to_owned(),
-        block: block.or(gone.then_some(0)).ok_or_else(|| bad("block"))?,
-        condition,
-        born_ms: born_ms.or(gone.then_some(0.0)).ok_or_else(|| bad("born_ms"))?,
+        shard: shard.or(gone.then_some(0)).ok_or_else(|| invalid("block"))?,
+        state,
+        started_ms: started_ms.or(gone.then_some(0.0)).ok_or_else(|| invalid("born_ms"))?,
     })
 }
 
-/// Names of nodes that are gone and whose numbers are kept for their return: as many as were ever listed at once, and
-/// this at the least.
-const GONE_KEPT: usize = 1_024;
+/// Minimum number of removed nodes whose numbers are kept in case they return. The bound grows with the
+/// largest number of nodes that was ever listed at once.
+const MIN_REMOVED_KEPT: usize = 1_024;
 
-/// What a list means for connections.
+/// Consequences of a node list for the connections to nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changed {
-    /// Nodes that are gone, or started anew: connections to what they were lead nowhere.
-    pub left: Vec<u32>,
-    /// Nodes that drain: they take nothing new.
+pub struct ConnectionChanges {
+    /// Nodes that are gone or have restarted: existing connections to them are useless.
+    pub stale: Vec<u32>,
+    /// Nodes that are draining: they accept no new attempts.
     pub draining: Vec<u32>,
 }
 
-/// The numbers of nodes and sites.
+/// Maps names of nodes and sites to numbers.
 #[derive(Debug, Default)]
 pub struct NodeTable {
-    numbers: HashMap<String, Known>,
-    /// Where each number is reached. Asked for each connection: a look through all names would cost more than the connection.
-    dials: HashMap<u32, SocketAddr>,
-    most: usize,
-    next: u32,
-    sites: HashMap<String, u16>,
-    /// Names that are gone, by the order in which they went.
-    gone: BTreeMap<u64, String>,
-    next_gone: u64,
+    nodes_by_name: HashMap<String, KnownNode>,
+    /// Address of each node by number. It is looked up for every connection; a search by name would cost more
+    /// than the connection itself.
+    addresses: HashMap<u32, SocketAddr>,
+    max_listed: usize,
+    last_number: u32,
+    site_zones: HashMap<String, u16>,
+    /// Removed names, keyed by the order of their removal.
+    removed: BTreeMap<u64, String>,
+    next_removal: u64,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownNode {
     number: u32,
-    born_ms: f64,
-    listed: bool,
-    /// Its place among the names that are gone.
-    gone: Option<u64>,
+    started_ms: f64,
+    is_listed: bool,
+    /// Key of this node in [`NodeTable::removed`].
+    removal: Option<u64>,
 }
 
 impl NodeTable {
-    /// Takes a list; what the module is told of it, and what it means for connections.
+    /// Applies a node list. Returns the entries for the scheduler and the consequences for connections.
     ///
-    /// Danger: nodes come under new names for ever. Names that are gone are forgotten beyond a bound, oldest first; a
-    /// number is never given twice.
-    pub fn take(&mut self, list: &Listing) -> (Vec<NodeEntry>, Changed) {
-        let (mut entries, mut changed) = (Vec::new(), Changed::default());
-        for line in &list.lines {
-            let sites = self.sites.len();
-            let zone = match self.sites.get(&line.site) {
+    /// New node names appear without end, so removed names are dropped beyond a bound, oldest first. A number
+    /// is never reused.
+    pub fn apply(&mut self, list: &NodeList) -> (Vec<NodeEntry>, ConnectionChanges) {
+        let (mut entries, mut changes) = (Vec::new(), ConnectionChanges::default());
+        for node in &list.nodes {
+            let next_zone = self.site_zones.len();
+            let zone = match self.site_zones.get(&node.site) {
                 Some(zone) => *zone,
-                None => {
-                    *self.sites.entry(line.site.clone()).or_insert(u16::try_from(sites).unwrap_or(u16::MAX))
-                }
+                None => *self
+                    .site_zones
+                    .entry(node.site.clone())
+                    .or_insert(u16::try_from(next_zone).unwrap_or(u16::MAX)),
             };
-            let known = self.numbers.entry(line.name.clone()).or_insert_with(|| {
-                self.next = self.next.wrapping_add(1);
-                Known { number: self.next, born_ms: line.born_ms, listed: false, gone: None }
+            let known = self.nodes_by_name.entry(node.name.clone()).or_insert_with(|| {
+                self.last_number = self.last_number.wrapping_add(1);
+                KnownNode {
+                    number: self.last_number,
+                    started_ms: node.started_ms,
+                    is_listed: false,
+                    removal: None,
+                }
             });
             let number = known.number;
-            if let Some(dial) = line.dial {
-                let before = self.dials.insert(number, dial);
-                let moved =
-                    before.is_some_and(|d| d != dial) || pearfork::is_restart(line.born_ms, known.born_ms);
+            if let Some(address) = node.address {
+                let before = self.addresses.insert(number, address);
+                let moved = before.is_some_and(|d| d != address)
+                    || pearfork::is_restart(node.started_ms, known.started_ms);
                 if moved {
-                    changed.left.push(number);
+                    changes.stale.push(number);
                 }
-                known.born_ms = line.born_ms;
+                known.started_ms = node.started_ms;
             }
-            if line.condition == NodeState::Draining {
-                changed.draining.push(number);
+            if node.state == NodeState::Draining {
+                changes.draining.push(number);
             }
-            if line.condition == NodeState::Gone {
-                self.retire(&line.name, &mut changed);
-            } else if !known.listed {
-                known.listed = true;
-                known.gone.take().map(|place| self.gone.remove(&place));
+            if node.state == NodeState::Gone {
+                self.remove_node(&node.name, &mut changes);
+            } else if !known.is_listed {
+                known.is_listed = true;
+                known.removal.take().map(|removal| self.removed.remove(&removal));
             }
             entries.push(NodeEntry {
                 node: number,
-                shard: line.block,
+                shard: node.shard,
                 zone,
-                state: line.condition,
-                started_ms: line.born_ms,
+                state: node.state,
+                started_ms: node.started_ms,
             });
         }
-        // After the lines: a name that is listed again is not to make room for those that went with the same list.
-        if list.whole {
-            let listed: HashSet<&str> = list.lines.iter().map(|l| l.name.as_str()).collect();
+        // Runs after the loop over the entries, so that a name that is listed again is not dropped to make
+        // room for names that this same list removes.
+        if list.is_full {
+            let listed: HashSet<&str> = list.nodes.iter().map(|l| l.name.as_str()).collect();
             let mut missing: Vec<String> = self
-                .numbers
+                .nodes_by_name
                 .iter()
-                .filter(|(n, k)| k.listed && !listed.contains(n.as_str()))
+                .filter(|(n, k)| k.is_listed && !listed.contains(n.as_str()))
                 .map(|(n, _)| n.clone())
                 .collect();
             missing.sort_unstable();
             for name in missing {
-                self.retire(&name, &mut changed);
+                self.remove_node(&name, &mut changes);
             }
         }
-        self.most = self.most.max(self.numbers.len().saturating_sub(self.gone.len()));
-        (entries, changed)
+        self.max_listed = self.max_listed.max(self.nodes_by_name.len().saturating_sub(self.removed.len()));
+        (entries, changes)
     }
 
-    /// Kind of event that a list makes.
-    pub fn kind(list: &Listing) -> ListKind {
-        if list.whole {
+    /// Kind of the list as the scheduler sees it.
+    pub fn list_kind(list: &NodeList) -> ListKind {
+        if list.is_full {
             ListKind::Full
         } else {
             ListKind::Changes
         }
     }
 
-    /// Where a node is reached, as last heard.
-    pub fn dial(&self, node: u32) -> Option<SocketAddr> {
-        self.dials.get(&node).copied()
+    /// Last known address of a node.
+    pub fn address(&self, node: u32) -> Option<SocketAddr> {
+        self.addresses.get(&node).copied()
     }
 
-    /// Names that it holds.
-    pub fn held(&self) -> usize {
-        self.numbers.len()
+    /// Number of names held, including removed ones.
+    pub fn name_count(&self) -> usize {
+        self.nodes_by_name.len()
     }
 
-    fn retire(&mut self, name: &str, changed: &mut Changed) {
-        let Some(known) = self.numbers.get_mut(name) else { return };
-        changed.left.push(known.number);
-        known.listed = false;
-        if known.gone.is_none() {
-            known.gone = Some(self.next_gone);
-            self.gone.insert(self.next_gone, name.to_owned());
-            self.next_gone += 1;
+    fn remove_node(&mut self, name: &str, changes: &mut ConnectionChanges) {
+        let Some(known) = self.nodes_by_name.get_mut(name) else { return };
+        changes.stale.push(known.number);
+        known.is_listed = false;
+        if known.removal.is_none() {
+            known.removal = Some(self.next_removal);
+            self.removed.insert(self.next_removal, name.to_owned());
+            self.next_removal += 1;
         }
-        while self.gone.len() > GONE_KEPT.max(self.most) {
-            let oldest = self.gone.pop_first().and_then(|(_, name)| self.numbers.remove(&name));
+        while self.removed.len() > MIN_REMOVED_KEPT.max(self.max_listed) {
+            let oldest = self.removed.pop_first().and_then(|(_, name)| self.nodes_by_name.remove(&name));
             if let Some(known) = oldest {
-                self.dials.remove(&known.number);
+                self.addresses.remove(&known.number);
             }
         }
     }
--- a/crates/platform/tests/lives.rs
+++ b/crates/platform/tests/lives.rs
@@ -1,59 +1,67 @@
-//! The lives of a client connection and of an attempt, over drawn orders of events.
+//! The state machine of a client connection and the pool's handling of attempts, under random sequences of
+//! events.
 
 use pearfork_drive::AttemptId;
-use pearfork_platform::config::Links;
-use pearfork_platform::lifecycle::{Effect, Event, Life, State};
-use pearfork_platform::pool::{Do, LinkId, Pool};
+use pearfork_platform::config::LinkSettings;
+use pearfork_platform::lifecycle::{Effect, Event, Lifecycle, State};
+use pearfork_platform::pool::{LinkId, Pool, PoolAction};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        2 => Just(Event::Full),
-        2 => Just(Event::Room),
+        2 => Just(Event::LimitReached),
+        2 => Just(Event::BelowLimit),
         2 => (0.0..1_000.0).prop_map(Event::Pause),
-        2 => Just(Event::End),
-        2 => Just(Event::Answered),
+        2 => Just(Event::Close),
+        2 => Just(Event::AllAnswered),
         2 => Just(Event::Flushed),
         2 => (0usize..400_000).prop_map(Event::Discarded),
-        1 => Just(Event::Gone),
+        1 => Just(Event::Disconnected),
         1 => Just(Event::Evicted),
         4 => Just(Event::Tick),
     ]
 }
 
 proptest! {
-    /// One end of sending at the most, and one close; no command is taken behind an end that the host chose; what it
-    /// chose to end is over within a bound of time, whatever the client does.
+    /// The sending side is shut down at most once and the connection is closed at most once. No command is
+    /// accepted after the host began to close the connection, and the close completes within a bounded time
+    /// whatever the client does.
     #[test]
-    fn a_connection_ends_once_and_takes_nothing_after(events in prop::collection::vec((0.0..400.0, event()), 1..60)) {
-        let (mut life, mut now) = (Life::default(), 0.0);
+    fn a_connection_closes_once_and_accepts_nothing_afterwards(
+        events in prop::collection::vec((0.0..400.0, event()), 1..60),
+    ) {
+        let (mut lifecycle, mut now) = (Lifecycle::default(), 0.0);
         let (mut ended, mut answered, mut sending_ended, mut closed) = (false, false, 0, 0);
         for (passed, event) in events {
             now += passed;
-            let before = life.state();
-            let effect = life.on(now, 500.0, event);
-            ended |= event == Event::End && before != State::Closed;
-            answered |= before == State::Ending && event == Event::Answered;
-            sending_ended += usize::from(effect == Effect::EndSending);
+            let before = lifecycle.state();
+            let effect = lifecycle.handle(now, 500.0, event);
+            ended |= event == Event::Close && before != State::Closed;
+            answered |= before == State::AwaitingReplies && event == Event::AllAnswered;
+            sending_ended += usize::from(effect == Effect::ShutdownWrite);
             closed += usize::from(effect == Effect::Close);
-            if effect == Effect::EndSending {
-                prop_assert!(ended && answered && event == Event::Flushed, "ended before all that was owed went out");
+            if effect == Effect::ShutdownWrite {
+                prop_assert!(
+                    ended && answered && event == Event::Flushed,
+                    "ended before all that was owed went out"
+                );
             }
-            prop_assert!(!(ended && life.takes_commands()), "a command would be taken behind the end");
-            prop_assert_eq!(life.state() == State::Closed, closed == 1);
+            prop_assert!(!(ended && lifecycle.accepts_commands()), "a command would be taken behind the end");
+            prop_assert_eq!(lifecycle.state() == State::Closed, closed == 1);
             prop_assert!(sending_ended <= 1 && closed <= 1);
-            prop_assert!(!(life.is_ending() && life.takes_commands()));
+            prop_assert!(!(lifecycle.is_closing() && lifecycle.accepts_commands()));
         }
-        // What the host ended and answered is over at its time, though nothing more is heard.
+        // A connection that the host closes and whose commands are answered ends on time even without further
+        // events.
         if ended {
-            life.on(now, 500.0, Event::Answered);
-            life.on(now, 500.0, Event::Flushed);
-            if let Some(due) = life.due() {
+            lifecycle.handle(now, 500.0, Event::AllAnswered);
+            lifecycle.handle(now, 500.0, Event::Flushed);
+            if let Some(due) = lifecycle.next_due() {
                 prop_assert!(due <= now + 3_000.0);
-                life.on(due, 500.0, Event::Tick);
+                lifecycle.handle(due, 500.0, Event::Tick);
             }
-            prop_assert_eq!(life.state(), State::Closed);
+            prop_assert_eq!(lifecycle.state(), State::Closed);
         }
     }
 }
@@ -61,16 +69,16 @@
 #[derive(Clone, Debug)]
 enum Op {
     Send(u32),
-    Up(usize),
-    NotUp(usize),
-    Answer(usize),
-    Over(usize, usize),
-    Withdraw(usize),
-    Recall(u32),
+    Opened(usize),
+    OpenFailed(usize),
+    Reply(usize),
+    Closed(usize, usize),
+    Abandon(usize),
+    CancelWaiting(u32),
     CloseIdle(u32),
     Sweep,
-    /// The next writes on connections find them unfit.
-    Unfit(usize),
+    /// The next writes on links find them unusable.
+    Unusable(usize),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -78,101 +86,108 @@
     let any = 0usize..64;
     prop_oneof![
         6 => node.clone().prop_map(Op::Send),
-        4 => any.clone().prop_map(Op::Up),
-        1 => any.clone().prop_map(Op::NotUp),
-        4 => any.clone().prop_map(Op::Answer),
-        1 => (any.clone(), 0usize..3).prop_map(|(l, n)| Op::Over(l, n)),
-        2 => any.clone().prop_map(Op::Withdraw),
-        1 => node.clone().prop_map(Op::Recall),
+        4 => any.clone().prop_map(Op::Opened),
+        1 => any.clone().prop_map(Op::OpenFailed),
+        4 => any.clone().prop_map(Op::Reply),
+        1 => (any.clone(), 0usize..3).prop_map(|(l, n)| Op::Closed(l, n)),
+        2 => any.clone().prop_map(Op::Abandon),
+        1 => node.clone().prop_map(Op::CancelWaiting),
         1 => node.prop_map(Op::CloseIdle),
         1 => Just(Op::Sweep),
-        1 => (1usize..3).prop_map(Op::Unfit),
+        1 => (1usize..3).prop_map(Op::Unusable),
     ]
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// Nothing of it has gone out.
-    Waits(u32),
+enum AttemptState {
+    /// Nothing of it has been sent.
+    Waiting(u32),
     Written(LinkId),
-    Over,
+    Ended,
 }
 
-/// What stands around the pool: connections as they are, and attempts as their owner has them.
-struct World {
+/// Test environment of the pool: the actual connections, and the attempts as seen by the engine.
+struct Environment {
     pool: Pool,
-    room: usize,
+    capacity: usize,
     now: f64,
-    unfit: usize,
-    coming: BTreeMap<LinkId, u32>,
-    /// What was written on a connection and has no answer, in order.
-    up: BTreeMap<LinkId, (u32, VecDeque<AttemptId>)>,
-    fates: BTreeMap<AttemptId, Fate>,
+    unusable: usize,
+    opening: BTreeMap<LinkId, u32>,
+    /// Commands written on each connection and not answered, in order.
+    open: BTreeMap<LinkId, (u32, VecDeque<AttemptId>)>,
+    attempts: BTreeMap<AttemptId, AttemptState>,
     next: u32,
 }
 
-impl World {
-    fn over(&mut self, attempt: AttemptId) {
-        let before = self.fates.insert(attempt, Fate::Over);
-        assert!(matches!(before, Some(Fate::Waits(_) | Fate::Written(_))), "{attempt:?} ends twice");
+impl Environment {
+    fn attempt_ended(&mut self, attempt: AttemptId) {
+        let before = self.attempts.insert(attempt, AttemptState::Ended);
+        assert!(
+            matches!(before, Some(AttemptState::Waiting(_) | AttemptState::Written(_))),
+            "{attempt:?} ends twice"
+        );
     }
 
-    fn live(&self) -> Vec<AttemptId> {
-        self.fates.iter().filter(|(_, f)| **f != Fate::Over).map(|(a, _)| *a).collect()
+    fn live_attempts(&self) -> Vec<AttemptId> {
+        self.attempts.iter().filter(|(_, f)| **f != AttemptState::Ended).map(|(a, _)| *a).collect()
     }
 
-    fn run(&mut self, todo: Vec<Do>) {
-        let mut todo: VecDeque<Do> = todo.into();
-        while let Some(one) = todo.pop_front() {
+    fn run(&mut self, pending: Vec<PoolAction>) {
+        let mut pending: VecDeque<PoolAction> = pending.into();
+        while let Some(action) = pending.pop_front() {
             let mut out = Vec::new();
-            match one {
-                Do::Open(link, node) => drop(self.coming.insert(link, node)),
-                Do::Write(link, attempt) => {
-                    let Some(Fate::Waits(node)) = self.fates.get(&attempt).copied() else {
+            match action {
+                PoolAction::Open(link, node) => drop(self.opening.insert(link, node)),
+                PoolAction::Write(link, attempt) => {
+                    let Some(AttemptState::Waiting(node)) = self.attempts.get(&attempt).copied() else {
                         panic!("{attempt:?} is written that nobody waits for or that went out before")
                     };
-                    let up = self.up.get_mut(&link).expect("written on a connection that is not up");
-                    assert_eq!(up.0, node, "on a connection of another node");
-                    if self.unfit > 0 && up.1.is_empty() {
-                        self.unfit -= 1;
-                        self.pool.unfit(self.now, link, node, attempt, &mut out);
+                    let carrier = self.open.get_mut(&link).expect("written on a connection that is not up");
+                    assert_eq!(carrier.0, node, "on a connection of another node");
+                    if self.unusable > 0 && carrier.1.is_empty() {
+                        self.unusable -= 1;
+                        self.pool.write_rejected(self.now, link, node, attempt, &mut out);
                     } else {
-                        up.1.push_back(attempt);
-                        self.fates.insert(attempt, Fate::Written(link));
+                        carrier.1.push_back(attempt);
+                        self.attempts.insert(attempt, AttemptState::Written(link));
                     }
                 }
-                Do::Close(link) => {
-                    self.coming.remove(&link);
-                    let lost = self.up.remove(&link).map(|(_, out)| out).unwrap_or_default();
+                PoolAction::Close(link) => {
+                    self.opening.remove(&link);
+                    let lost = self.open.remove(&link).map(|(_, out)| out).unwrap_or_default();
                     for attempt in lost {
-                        assert_eq!(self.fates[&attempt], Fate::Over, "closed under one that is waited for");
+                        assert_eq!(
+                            self.attempts[&attempt],
+                            AttemptState::Ended,
+                            "closed under one that is waited for"
+                        );
                     }
                 }
-                Do::NeverSent(attempt) => {
-                    assert!(matches!(self.fates[&attempt], Fate::Waits(_)));
-                    self.over(attempt);
+                PoolAction::NeverSent(attempt) => {
+                    assert!(matches!(self.attempts[&attempt], AttemptState::Waiting(_)));
+                    self.attempt_ended(attempt);
                 }
             }
-            todo.extend(out);
+            pending.extend(out);
         }
-        assert!(self.pool.held() <= self.room);
+        assert!(self.pool.link_count() <= self.capacity);
     }
 
     fn pick<K: Copy + Ord, V>(map: &BTreeMap<K, V>, n: usize) -> Option<K> {
         map.keys().nth(n % map.len().max(1)).copied()
     }
 
-    fn answer(&mut self, link: LinkId) {
-        let Some(attempt) = self.up.get_mut(&link).and_then(|(_, out)| out.pop_front()) else { return };
-        let whose = self.pool.answered(self.now, link);
-        match self.fates[&attempt] {
-            Fate::Over => assert_eq!(whose, None, "an answer that nobody waits for is another's"),
+    fn reply(&mut self, link: LinkId) {
+        let Some(attempt) = self.open.get_mut(&link).and_then(|(_, out)| out.pop_front()) else { return };
+        let owner = self.pool.reply_received(self.now, link);
+        match self.attempts[&attempt] {
+            AttemptState::Ended => assert_eq!(owner, None, "an answer that nobody waits for is another's"),
             _ => {
-                assert_eq!(whose, Some(attempt), "the answer is another's");
-                self.over(attempt);
+                assert_eq!(owner, Some(attempt), "the answer is another's");
+                self.attempt_ended(attempt);
             }
         }
-        assert!(self.pool.held() <= self.room);
+        assert!(self.pool.link_count() <= self.capacity);
     }
 
     fn apply(&mut self, op: Op) {
@@ -181,107 +196,110 @@
             Op::Send(node) => {
                 self.next += 1;
                 let attempt = AttemptId { request: self.next, number: 0 };
-                self.fates.insert(attempt, Fate::Waits(node));
+                self.attempts.insert(attempt, AttemptState::Waiting(node));
                 self.pool.send(self.now, node, attempt, &mut out);
             }
-            Op::Up(n) => {
-                let Some(link) = World::pick(&self.coming, n) else { return };
-                let node = self.coming.remove(&link).unwrap();
-                self.up.insert(link, (node, VecDeque::new()));
-                self.pool.opened(self.now, link, &mut out);
+            Op::Opened(n) => {
+                let Some(link) = Environment::pick(&self.opening, n) else { return };
+                let node = self.opening.remove(&link).unwrap();
+                self.open.insert(link, (node, VecDeque::new()));
+                self.pool.link_opened(self.now, link, &mut out);
             }
-            Op::NotUp(n) => {
-                let Some(link) = World::pick(&self.coming, n) else { return };
-                self.coming.remove(&link);
-                self.pool.not_opened(link, &mut out);
+            Op::OpenFailed(n) => {
+                let Some(link) = Environment::pick(&self.opening, n) else { return };
+                self.opening.remove(&link);
+                self.pool.open_failed(link, &mut out);
             }
-            Op::Answer(n) => {
-                let Some(link) = World::pick(&self.up, n) else { return };
-                return self.answer(link);
+            Op::Reply(n) => {
+                let Some(link) = Environment::pick(&self.open, n) else { return };
+                return self.reply(link);
             }
-            Op::Over(n, unsent) => {
-                let Some(link) = World::pick(&self.up, n) else { return };
-                let (_, was_out) = self.up.remove(&link).unwrap();
-                let expected: Vec<AttemptId> = was_out.iter().rev().take(unsent).copied().collect();
+            Op::Closed(n, unsent) => {
+                let Some(link) = Environment::pick(&self.open, n) else { return };
+                let (_, was_in_flight) = self.open.remove(&link).unwrap();
+                let expected: Vec<AttemptId> = was_in_flight.iter().rev().take(unsent).copied().collect();
                 let expected: Vec<AttemptId> =
-                    expected.into_iter().filter(|a| self.fates[a] != Fate::Over).collect();
+                    expected.into_iter().filter(|a| self.attempts[a] != AttemptState::Ended).collect();
                 assert_eq!(self.pool.last_written(link, unsent), expected, "told never to have run");
-                let lost = self.pool.closed(link, &mut out);
-                let owed: Vec<AttemptId> =
-                    was_out.into_iter().filter(|a| self.fates[a] != Fate::Over).collect();
-                assert_eq!(lost, owed);
-                lost.into_iter().for_each(|a| self.over(a));
+                let lost = self.pool.link_closed(link, &mut out);
+                let awaited: Vec<AttemptId> =
+                    was_in_flight.into_iter().filter(|a| self.attempts[a] != AttemptState::Ended).collect();
+                assert_eq!(lost, awaited);
+                lost.into_iter().for_each(|a| self.attempt_ended(a));
             }
-            Op::Withdraw(n) => {
-                let live = self.live();
-                let Some(attempt) = live.get(n % live.len().max(1)).copied() else { return };
-                let node = match self.fates[&attempt] {
-                    Fate::Waits(node) => node,
-                    Fate::Written(link) => self.up[&link].0,
-                    Fate::Over => unreachable!(),
+            Op::Abandon(n) => {
+                let live_attempts = self.live_attempts();
+                let Some(attempt) = live_attempts.get(n % live_attempts.len().max(1)).copied() else {
+                    return;
+                };
+                let node = match self.attempts[&attempt] {
+                    AttemptState::Waiting(node) => node,
+                    AttemptState::Written(link) => self.open[&link].0,
+                    AttemptState::Ended => unreachable!(),
                 };
-                self.over(attempt);
-                // Now and then it is taken back from behind others, as where nothing of it has gone out.
-                match self.pool.place_of(attempt).filter(|(l, _)| n % 2 == 0 && !self.pool.is_alone(*l)) {
+                self.attempt_ended(attempt);
+                // Some attempts are retracted from a shared link, as if nothing of them had been sent.
+                match self.pool.position_of(attempt).filter(|(l, _)| n % 2 == 0 && !self.pool.is_unshared(*l))
+                {
                     Some((link, behind)) => {
-                        let out_there = &mut self.up.get_mut(&link).unwrap().1;
-                        let at = out_there.len() - 1 - behind;
-                        assert_eq!(out_there.remove(at), Some(attempt), "another's place");
-                        self.pool.unsend(self.now, link, attempt, &mut out);
+                        let in_flight = &mut self.open.get_mut(&link).unwrap().1;
+                        let at = in_flight.len() - 1 - behind;
+                        assert_eq!(in_flight.remove(at), Some(attempt), "another's place");
+                        self.pool.retract(self.now, link, attempt, &mut out);
                     }
-                    None => self.pool.withdrawn(node, attempt, &mut out),
+                    None => self.pool.abandon(node, attempt, &mut out),
                 }
             }
-            Op::Recall(node) => {
-                self.pool.recall(node, &mut out);
+            Op::CancelWaiting(node) => {
+                self.pool.cancel_waiting(node, &mut out);
                 self.run(out);
-                let waits = self.fates.values().any(|f| *f == Fate::Waits(node));
+                let waits = self.attempts.values().any(|f| *f == AttemptState::Waiting(node));
                 assert!(!waits, "one still waits for a node that is not what it was");
                 return;
             }
             Op::CloseIdle(node) => self.pool.close_idle(node, &mut out),
-            Op::Sweep => self.pool.sweep(self.now, &mut out),
-            Op::Unfit(n) => self.unfit = n,
+            Op::Sweep => self.pool.close_expired(self.now, &mut out),
+            Op::Unusable(n) => self.unusable = n,
         }
         self.run(out);
     }
 
-    /// Time passes; what has rested by then is used.
-    fn pass(&mut self, ms: f64) {
+    /// Advances the time and lets the pool use links that have become available.
+    fn advance(&mut self, ms: f64) {
         self.now += ms;
         let mut out = Vec::new();
-        self.pool.ring(self.now, &mut out);
+        self.pool.on_timer(self.now, &mut out);
         self.run(out);
     }
 }
 
 proptest! {
-    /// Each attempt ends once, is written once at the most and never after its end; each answer is its own; and every
-    /// place is given back.
+    /// Each attempt ends exactly once, is written at most once and never after its end; each reply belongs to
+    /// its attempt; and every place in the pool is released.
     #[test]
-    fn an_attempt_ends_once_and_is_in_somebody_s_hands_until_then(
-        room in 1usize..6,
+    fn each_attempt_ends_exactly_once_and_is_never_lost(
+        capacity in 1usize..6,
         ops in prop::collection::vec((0.0..20.0, op()), 1..120),
     ) {
-        let links = Links { streams: 3, idle_ms: 30_000.0, connect_ms: 250.0 };
-        let mut world = World {
-            pool: Pool::new(links, room), room, now: 0.0, unfit: 0, coming: BTreeMap::new(), up: BTreeMap::new(),
-            fates: BTreeMap::new(), next: 0,
+        let links = LinkSettings { max_in_flight: 3, idle_timeout_ms: 30_000.0, connect_timeout_ms: 250.0 };
+        let mut environment = Environment {
+            pool: Pool::new(links, capacity), capacity, now: 0.0, unusable: 0, opening: BTreeMap::new(),
+            open: BTreeMap::new(), attempts: BTreeMap::new(), next: 0,
         };
         for (passed, op) in ops {
-            world.pass(passed);
-            world.apply(op);
+            environment.advance(passed);
+            environment.apply(op);
         }
-        // Everything comes up and is answered in the end; nothing is left in nobody's hands.
+        // Finally all links open and all commands are answered; no attempt may be left over.
         for _ in 0..400 {
-            let links: Vec<LinkId> = world.up.keys().copied().collect();
-            world.apply(Op::Up(0));
-            links.into_iter().for_each(|l| world.answer(l));
-            world.pass(10.0);
+            let links: Vec<LinkId> = environment.open.keys().copied().collect();
+            environment.apply(Op::Opened(0));
+            links.into_iter().for_each(|l| environment.reply(l));
+            environment.advance(10.0);
         }
-        prop_assert_eq!(world.live(), vec![]);
-        world.now += 60_000.0;
-        world.apply(Op::Sweep);
-        prop_assert_eq!(world.pool.held(), 0, "a place that nobody gave back");
+        prop_assert_eq!(environment.live_attempts(), vec![]);
+        environment.now += 60_000.0;
+        environment.apply(Op::Sweep);
+        prop_assert_eq!(environment.pool.link_count(), 0, "a place that nobody gave back");
     }
 }
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,20 +1,24 @@
-//! What clients, nodes and discovery say, good and bad.
+//! Valid and invalid input from clients, nodes and discovery.
 
 use bytes::Bytes;
 use pearfork::{AttemptResult, ListKind, NodeState};
-use pearfork_platform::config::{ClassWord, Config, RequestSchema};
+use pearfork_platform::config::{ClassSchema, Config, RequestSchema};
 use pearfork_platform::node_list::{self, NodeTable};
 use pearfork_platform::node_reply;
-use pearfork_platform::request::{self, Parsed, RequestFault};
+use pearfork_platform::request::{self, ClientCommand, RequestError};
 use pearfork_resp::{Reply, ReplyDecoder};
 use proptest::prelude::*;
 
-fn vocabulary() -> RequestSchema {
-    let class = |name: &str, keyed, writes| ClassWord { name: name.to_owned(), keyed, writes: Some(writes) };
+fn request_schema() -> RequestSchema {
+    let class = |name: &str, requires_key, writes| ClassSchema {
+        name: name.to_owned(),
+        requires_key,
+        is_write: Some(writes),
+    };
     RequestSchema {
         classes: vec![class("read", false, false), class("write", true, true)],
         plans: vec!["gold".to_owned()],
-        shards: 8,
+        shard_count: 8,
         max_units: 6.0,
     }
 }
@@ -25,35 +29,35 @@
 const WRITE: &str =
     "c=write,t=gold,d=480,k=5c0f6e1a2b3d4c59,volume=00000003b4d60021,units=2,shard=-1,hosts=3";
 
-fn parse(words: &[&str]) -> Result<Parsed, RequestFault> {
-    let words: Vec<Bytes> = words.iter().map(|w| Bytes::copy_from_slice(w.as_bytes())).collect();
-    request::parse(&words, &vocabulary())
+fn parse(args: &[&str]) -> Result<ClientCommand, RequestError> {
+    let args: Vec<Bytes> = args.iter().map(|w| Bytes::copy_from_slice(w.as_bytes())).collect();
+    request::parse(&args, &request_schema())
 }
 
 #[test]
-fn a_request_means_what_its_list_says_and_goes_on_unchanged_but_for_the_time() {
-    let Ok(Parsed::Asked(asked)) = parse(&["OBJ.PUT", PIECE, ID, WRITE, "BODY"]) else { panic!() };
-    let request = asked.request(7, 1480.0);
-    assert_eq!((request.id, request.class, request.plan, request.shard), (7, 1, 0, None));
-    assert_eq!((request.key, request.units, request.volume_hosts), (0x7f3a_9c21_e0b4_d655, 2.0, 3.0));
-    assert_eq!(asked.wait_ms, 480.0);
-    let sent = String::from_utf8(asked.command(77.9).to_vec()).unwrap();
+fn a_request_is_parsed_and_forwarded_unchanged_except_for_its_wait_time() {
+    let Ok(ClientCommand::Request(request)) = parse(&["OBJ.PUT", PIECE, ID, WRITE, "BODY"]) else { panic!() };
+    let scheduled = request.scheduler_request(7, 1480.0);
+    assert_eq!((scheduled.id, scheduled.class, scheduled.plan, scheduled.shard), (7, 1, 0, None));
+    assert_eq!((scheduled.key, scheduled.units, scheduled.volume_hosts), (0x7f3a_9c21_e0b4_d655, 2.0, 3.0));
+    assert_eq!(request.wait_ms, 480.0);
+    let sent = String::from_utf8(request.command(77.9).to_vec()).unwrap();
     assert!(sent.contains(&WRITE.replace("d=480", "d=77")), "{sent}");
     assert!(sent.starts_with("*5\r\n$7\r\nOBJ.PUT\r\n$16\r\n7f3a") && sent.ends_with("$4\r\nBODY\r\n"));
-    // What is over already is never told as no time at all.
-    assert!(String::from_utf8_lossy(&asked.command(-3.0)).contains("d=1,"));
+    // A wait that is already over is sent as 1 ms rather than as zero.
+    assert!(String::from_utf8_lossy(&request.command(-3.0)).contains("d=1,"));
 }
 
 #[test]
-fn names_of_the_platform_s_own_pass_and_are_passed_on() {
+fn unknown_attributes_are_forwarded() {
     let list = format!("{READ},r=1,later=x");
-    let Ok(Parsed::Asked(asked)) = parse(&["OBJ.GET", PIECE, ID, &list]) else { panic!() };
-    assert!(String::from_utf8_lossy(&asked.command(10.0)).contains(",r=1,later=x\r\n"));
+    let Ok(ClientCommand::Request(request)) = parse(&["OBJ.GET", PIECE, ID, &list]) else { panic!() };
+    assert!(String::from_utf8_lossy(&request.command(10.0)).contains(",r=1,later=x\r\n"));
 }
 
-/// Danger: a command that a node can't use, passed on, voids more than itself.
+/// Guards against forwarding a command that a node cannot use, which does harm beyond this one request.
 #[test]
-fn what_makes_no_sense_is_named_and_never_passed_on() {
+fn invalid_commands_yield_specific_errors() {
     let read = |from: &str, to: &str| READ.replace(from, to);
     let cases = [
         (vec!["GET", PIECE], "unknown command"),
@@ -61,8 +65,8 @@
         (vec!["OBJ.GET", PIECE, ID, READ, "BODY"], "wrong number of words"),
         (vec!["OBJ.PUT", PIECE, ID, WRITE], "wrong number of words"),
     ];
-    for (words, says) in cases {
-        assert_eq!(parse(&words).unwrap_err().to_string(), says);
+    for (args, expected) in cases {
+        assert_eq!(parse(&args).unwrap_err().to_string(), expected);
     }
     let lists = [
         (read("c=read", "c=none"), "unknown class"),
@@ -84,9 +88,9 @@
         (format!("{READ},{}", "x".repeat(600)), "list is"),
         (String::new(), "list is"),
     ];
-    for (list, says) in lists {
-        let fault = parse(&["OBJ.GET", PIECE, ID, &list]).unwrap_err().to_string();
-        assert!(fault.starts_with(says), "{list}: {fault}");
+    for (list, expected) in lists {
+        let error = parse(&["OBJ.GET", PIECE, ID, &list]).unwrap_err().to_string();
+        assert!(error.starts_with(expected), "{list}: {error}");
     }
     assert!(parse(&["OBJ.GET", "zz", ID, READ]).unwrap_err().to_string().starts_with("piece"));
     assert!(parse(&["OBJ.GET", PIECE, "", READ]).unwrap_err().to_string().starts_with("id"));
@@ -94,43 +98,47 @@
     assert!(parse(&["OBJ.PUT", PIECE, ID, &no_key, "B"]).unwrap_err().to_string().starts_with("k is"));
 }
 
-fn answer(bytes: &[u8]) -> node_reply::Answer {
+fn reply(bytes: &[u8]) -> node_reply::NodeReply {
     let mut replies = ReplyDecoder::new(node_reply::LIMITS);
     replies.buffer().extend_from_slice(bytes);
     node_reply::parse(replies.next_reply().unwrap().unwrap())
 }
 
 #[test]
-fn an_answer_is_served_with_its_figures() {
-    let a = answer(b"*3\r\n$3\r\nabc\r\n$14\r\nused=37,cost=4\r\n$23\r\nqueue=2,latency_ms=31.5\r\n");
-    assert_eq!((a.verdict, a.value.as_deref()), (AttemptResult::Served, Some(&b"abc"[..])));
-    assert_eq!((a.told.used_percent, a.told.other_hosts_units), (Some(37.0), 4.0));
-    assert_eq!((a.told.queue, a.told.latency_ms, a.told.in_flight), (Some(2.0), Some(31.5), None));
-    let plain = answer(b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n");
-    assert_eq!((plain.verdict, plain.told), (AttemptResult::Served, Default::default()));
+fn a_served_reply_carries_load_figures() {
+    let a = reply(b"*3\r\n$3\r\nabc\r\n$14\r\nused=37,cost=4\r\n$23\r\nqueue=2,latency_ms=31.5\r\n");
+    assert_eq!((a.result, a.value.as_deref()), (AttemptResult::Served, Some(&b"abc"[..])));
+    assert_eq!((a.report.used_percent, a.report.other_hosts_units), (Some(37.0), 4.0));
+    assert_eq!((a.report.queue, a.report.latency_ms, a.report.in_flight), (Some(2.0), Some(31.5), None));
+    let without_figures = reply(b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n");
+    assert_eq!((without_figures.result, without_figures.report), (AttemptResult::Served, Default::default()));
 }
 
-/// A figure that can't be read costs the figure, not the answer.
+/// A figure that cannot be parsed invalidates only itself, not the reply.
 #[test]
-fn figures_that_cannot_be_read_are_as_if_not_there() {
-    let a = answer(b"*3\r\n$3\r\nabc\r\n$9\r\nused=many\r\n$17\r\nqueue=-4,\xff,util=x\r\n");
-    assert_eq!((a.verdict, a.told), (AttemptResult::Served, Default::default()));
-    let a = answer(b"*3\r\n$3\r\nabc\r\n$-1\r\n$20\r\nqueue=NaN,inflight=7\r\n");
-    assert_eq!((a.told.queue, a.told.in_flight), (None, Some(7.0)));
+fn invalid_figures_are_ignored() {
+    let a = reply(b"*3\r\n$3\r\nabc\r\n$9\r\nused=many\r\n$17\r\nqueue=-4,\xff,util=x\r\n");
+    assert_eq!((a.result, a.report), (AttemptResult::Served, Default::default()));
+    let a = reply(b"*3\r\n$3\r\nabc\r\n$-1\r\n$20\r\nqueue=NaN,inflight=7\r\n");
+    assert_eq!((a.report.queue, a.report.in_flight), (None, Some(7.0)));
 }
 
 #[test]
-fn errors_tell_apart_what_ran_and_what_never_did() {
-    let a = answer(b"-ERR failed used=12 queue=3\r\n");
-    assert_eq!((a.verdict, a.told.used_percent, a.told.queue), (AttemptResult::Error, Some(12.0), Some(3.0)));
-    assert_eq!(answer(b"-BUSY\r\n").verdict, AttemptResult::Rejected);
-    assert_eq!(answer(b"-BUSYBODY\r\n").verdict, AttemptResult::Error);
+fn rejections_and_errors_are_distinguished() {
+    let a = reply(b"-ERR failed used=12 queue=3\r\n");
+    assert_eq!(
+        (a.result, a.report.used_percent, a.report.queue),
+        (AttemptResult::Error, Some(12.0), Some(3.0))
+    );
+    assert_eq!(reply(b"-BUSY\r\n").result, AttemptResult::Rejected);
+    assert_eq!(reply(b"-BUSYBODY\r\n").result, AttemptResult::Error);
 }
 
-/// Danger: a client given anything but its value counts as served, and its request is lost.
+/// Guards against returning anything but the value to a client, which would count as served and lose the
+/// request.
 #[test]
-fn what_is_no_answer_of_the_protocol_has_failed_and_is_never_a_value() {
-    let spoilt: [&[u8]; 7] = [
+fn replies_outside_the_protocol_are_errors_and_never_values() {
+    let malformed: [&[u8]; 7] = [
         b"+OK\r\n",
         b":4\r\n",
         b"$3\r\nabc\r\n",
@@ -139,139 +147,146 @@
         b"*0\r\n",
         b"*2\r\n$3\r\nabc\r\n:7\r\n",
     ];
-    for bytes in spoilt {
-        let a = answer(bytes);
-        assert_eq!((a.verdict, a.value), (AttemptResult::Error, None), "{}", String::from_utf8_lossy(bytes));
+    for bytes in malformed {
+        let a = reply(bytes);
+        assert_eq!((a.result, a.value), (AttemptResult::Error, None), "{}", String::from_utf8_lossy(bytes));
     }
-    assert_eq!(node_reply::parse(Reply::Array(None)).verdict, AttemptResult::Error);
+    assert_eq!(node_reply::parse(Reply::Array(None)).result, AttemptResult::Error);
 }
 
-fn list(seq: u64, whole: bool, lines: &[(&str, &str, &str, u64)]) -> node_list::Listing {
-    let lines: Vec<String> = lines
+fn list(version: u64, is_full: bool, nodes: &[(&str, &str, &str, u64)]) -> node_list::NodeList {
+    let entries: Vec<String> = nodes
         .iter()
-        .map(|(host, dial, health, born)| {
-            format!(r#"{{"host":"{host}","dial":"{dial}","site":"a","class":"m","block":3,"health":"{health}","share":1.0,"born_ms":{born}}}"#)
+        .map(|(host, address, health, started_ms)| {
+            format!(r#"{{"host":"{host}","dial":"{address}","site":"a","class":"m","block":3,"health":"{health}","share":1.0,"born_ms":{started_ms}}}"#)
         })
         .collect();
-    let text = format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, lines.join(","));
+    let text = format!(r#"{{"seq":{version},"whole":{is_full},"hosts":[{}]}}"#, entries.join(","));
     node_list::parse(text.as_bytes()).unwrap()
 }
 
 #[test]
-fn nodes_keep_their_numbers_through_changes_and_whole_lists() {
+fn nodes_keep_their_numbers_across_changes_and_full_lists() {
     let mut node_table = NodeTable::default();
     let (a, b) = (("s-a", "127.0.0.1:1", "SERVING", 0), ("s-b", "127.0.0.1:2", "SERVING", 5));
     let first = list(1, true, &[a, b]);
-    assert_eq!(NodeTable::kind(&first), ListKind::Full);
-    let (entries, changed) = node_table.take(&first);
+    assert_eq!(NodeTable::list_kind(&first), ListKind::Full);
+    let (entries, changes) = node_table.apply(&first);
     let (na, nb) = (entries[0].node, entries[1].node);
     assert_ne!(na, nb);
-    assert!(changed.left.is_empty());
-    let dial = |node_table: &NodeTable, node| node_table.dial(node).map(|d| d.to_string());
-    assert_eq!([na, nb].map(|n| dial(&node_table, n).unwrap()), ["127.0.0.1:1", "127.0.0.1:2"]);
-    let (entries, _) = node_table.take(&list(2, false, &[("s-b", "127.0.0.1:2", "DRAINING", 5)]));
+    assert!(changes.stale.is_empty());
+    let address = |node_table: &NodeTable, node| node_table.address(node).map(|d| d.to_string());
+    assert_eq!([na, nb].map(|n| address(&node_table, n).unwrap()), ["127.0.0.1:1", "127.0.0.1:2"]);
+    let (entries, _) = node_table.apply(&list(2, false, &[("s-b", "127.0.0.1:2", "DRAINING", 5)]));
     assert_eq!((entries[0].node, entries[0].state), (nb, NodeState::Draining));
-    // Missing from a whole list: gone. Back again: the number that it had.
-    let (_, changed) = node_table.take(&list(3, true, &[a]));
-    assert_eq!(changed.left, [nb]);
-    assert_eq!(node_table.take(&list(4, false, &[b])).0[0].node, nb);
-    // Started anew elsewhere: what is connected leads nowhere.
-    let (_, changed) = node_table.take(&list(5, false, &[("s-a", "127.0.0.1:9", "SERVING", 70)]));
-    assert_eq!(changed.left, [na]);
-    // Danger: a change of one line that has the others' addresses forgotten makes their nodes unreachable.
-    assert_eq!([na, nb].map(|n| dial(&node_table, n).unwrap()), ["127.0.0.1:9", "127.0.0.1:2"]);
-    let (entries, changed) = node_table.take(&list(6, false, &[("s-a", "127.0.0.1:9", "DELETED", 70)]));
-    assert_eq!((entries[0].state, changed.left), (NodeState::Gone, vec![na]));
+    // A node missing from a full list is gone. When it returns it gets the same number.
+    let (_, changes) = node_table.apply(&list(3, true, &[a]));
+    assert_eq!(changes.stale, [nb]);
+    assert_eq!(node_table.apply(&list(4, false, &[b])).0[0].node, nb);
+    // The node restarted at another address: existing connections are useless.
+    let (_, changes) = node_table.apply(&list(5, false, &[("s-a", "127.0.0.1:9", "SERVING", 70)]));
+    assert_eq!(changes.stale, [na]);
+    // Guards against a change of one entry erasing the addresses of other nodes, which would make them
+    // unreachable.
+    assert_eq!([na, nb].map(|n| address(&node_table, n).unwrap()), ["127.0.0.1:9", "127.0.0.1:2"]);
+    let (entries, changes) = node_table.apply(&list(6, false, &[("s-a", "127.0.0.1:9", "DELETED", 70)]));
+    assert_eq!((entries[0].state, changes.stale), (NodeState::Gone, vec![na]));
 }
 
-/// Danger: a day on which every node is replaced for ever under new names would fill memory.
+/// Guards against unbounded memory use when nodes are replaced under new names again and again.
 #[test]
-fn names_of_nodes_that_are_gone_are_forgotten_beyond_a_bound() {
+fn names_of_removed_nodes_are_dropped_beyond_a_bound() {
     let mut node_table = NodeTable::default();
     let mut numbers = std::collections::HashSet::new();
     for i in 0..4_000 {
         let name = format!("s-{i}");
-        let come = list(2 * i, false, &[(&name, "127.0.0.1:1", "SERVING", 1)]);
-        assert!(numbers.insert(node_table.take(&come).0[0].node), "a number given twice");
-        node_table.take(&list(2 * i + 1, false, &[(&name, "127.0.0.1:1", "DELETED", 1)]));
+        let added = list(2 * i, false, &[(&name, "127.0.0.1:1", "SERVING", 1)]);
+        assert!(numbers.insert(node_table.apply(&added).0[0].node), "a number was reused");
+        node_table.apply(&list(2 * i + 1, false, &[(&name, "127.0.0.1:1", "DELETED", 1)]));
     }
-    assert!(node_table.held() <= 1_100, "{}", node_table.held());
+    assert!(node_table.name_count() <= 1_100, "{}", node_table.name_count());
 }
 
-/// Danger: a release replaces every node of a large fleet, and one that is taken back lists the old names again: a node
-/// whose number was forgotten is a new one to the module, which has lost what it knew of it.
+/// Guards against forgetting numbers when a release replaces every node of a large fleet and is then rolled
+/// back: a node with a new number is new to the scheduler, which loses everything it knew of the node.
 #[test]
-fn a_fleet_of_1100_nodes_is_replaced_and_comes_back_under_its_numbers() {
+fn a_replaced_fleet_of_1100_nodes_returns_with_its_numbers() {
     let names = |prefix: &str| (0..1_100).map(|i| format!("{prefix}-{i}")).collect::<Vec<String>>();
     let (old, new) = (names("old"), names("new"));
-    let lines = |names: &[String]| {
-        let dial = |i: usize| format!("127.1.{}.{}:6379", i / 250, i % 250 + 1);
-        names.iter().enumerate().map(|(i, n)| (n.clone(), dial(i))).collect::<Vec<_>>()
+    let entries = |names: &[String]| {
+        let address = |i: usize| format!("127.1.{}.{}:6379", i / 250, i % 250 + 1);
+        names.iter().enumerate().map(|(i, n)| (n.clone(), address(i))).collect::<Vec<_>>()
     };
-    let whole = |seq, lines: &[(String, String)]| {
-        let lines: Vec<_> = lines.iter().map(|(n, d)| (n.as_str(), d.as_str(), "SERVING", 1)).collect();
-        list(seq, true, &lines)
+    let full_list = |version, nodes: &[(String, String)]| {
+        let entries: Vec<_> = nodes.iter().map(|(n, d)| (n.as_str(), d.as_str(), "SERVING", 1)).collect();
+        list(version, true, &entries)
     };
     let numbers = |entries: Vec<pearfork::NodeEntry>| entries.iter().map(|e| e.node).collect::<Vec<u32>>();
     let mut node_table = NodeTable::default();
-    let first = numbers(node_table.take(&whole(1, &lines(&old))).0);
-    let (_, changed) = node_table.take(&whole(2, &lines(&new)));
-    assert_eq!(changed.left.len(), 1_100);
-    assert_eq!(numbers(node_table.take(&whole(3, &lines(&old))).0), first);
-    let dials = first.iter().filter(|n| node_table.dial(**n).is_some()).count();
-    assert_eq!(dials, 1_100);
+    let first = numbers(node_table.apply(&full_list(1, &entries(&old))).0);
+    let (_, changes) = node_table.apply(&full_list(2, &entries(&new)));
+    assert_eq!(changes.stale.len(), 1_100);
+    assert_eq!(numbers(node_table.apply(&full_list(3, &entries(&old))).0), first);
+    let with_address = first.iter().filter(|n| node_table.address(**n).is_some()).count();
+    assert_eq!(with_address, 1_100);
 }
 
 #[test]
-fn a_list_that_makes_no_sense_names_line_and_field() {
-    let bad = |from: &str, to: &str| {
+fn an_invalid_list_yields_an_error_with_entry_and_field() {
+    let error_for = |from: &str, to: &str| {
         let text = r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","block":3,"health":"SERVING","born_ms":0}]}"#;
         node_list::parse(text.replace(from, to).as_bytes()).unwrap_err().to_string()
     };
-    assert!(bad("SERVING", "FINE").contains("hosts[0].health"));
-    assert!(bad("127.0.0.1:1", "here").contains("hosts[0].dial"));
-    assert!(bad("\"born_ms\":0", "\"born_ms\":-1").contains("hosts[0].born_ms"));
-    assert!(bad("\"block\":3", "\"block\":70000").contains("hosts[0].block"));
-    assert!(bad("\"seq\":1,", "").contains("seq"));
+    assert!(error_for("SERVING", "FINE").contains("hosts[0].health"));
+    assert!(error_for("127.0.0.1:1", "here").contains("hosts[0].dial"));
+    assert!(error_for("\"born_ms\":0", "\"born_ms\":-1").contains("hosts[0].born_ms"));
+    assert!(error_for("\"block\":3", "\"block\":70000").contains("hosts[0].block"));
+    assert!(error_for("\"seq\":1,", "").contains("seq"));
 }
 
 const CONFIG: &str = include_str!("config.json");
 
 #[test]
-fn a_configuration_is_read_as_a_whole_and_its_faults_are_named() {
+fn a_configuration_is_parsed_and_its_errors_name_the_field() {
     let config = Config::parse(CONFIG.as_bytes()).unwrap();
     assert_eq!(
-        (config.name.as_str(), config.seed, config.limits.sockets),
+        (config.name.as_str(), config.seed, config.limits.descriptors),
         ("n3", 0x8c1f_30d2_7a5b_e964, 256)
     );
-    assert_eq!((config.links.streams, config.links.idle_ms, config.links.connect_ms), (32, 30_000.0, 250.0));
     assert_eq!(
-        config.words.classes[1],
-        ClassWord { name: "write".to_owned(), keyed: true, writes: Some(true) }
+        (config.links.max_in_flight, config.links.idle_timeout_ms, config.links.connect_timeout_ms),
+        (32, 30_000.0, 250.0)
+    );
+    assert_eq!(
+        config.schema.classes[1],
+        ClassSchema { name: "write".to_owned(), requires_key: true, is_write: Some(true) }
     );
-    assert_eq!((config.known.seq, config.known.lines.len()), (41, 1));
-    let bad =
+    assert_eq!((config.cached_nodes.version, config.cached_nodes.nodes.len()), (41, 1));
+    let error_for =
         |from: &str, to: &str| Config::parse(CONFIG.replace(from, to).as_bytes()).unwrap_err().to_string();
-    assert!(bad("\"seed\"", "\"sead\"").contains("seed is missing"));
-    assert!(bad("8c1f30d27a5be964", "eight").contains("seed makes no sense"));
-    assert!(bad("127.0.0.1:6379", "there").contains("listen makes no sense"));
-    assert!(bad("\"sockets\":256", "\"sockets\":0").contains("limits.sockets makes no sense"));
-    assert!(bad("\"GoalTimeMs\":120.0", "\"GoalTimeMs\":-1").contains("Classes[0].GoalTimeMs"));
-    assert!(bad("\"health\":\"SERVING\"", "\"health\":\"?\"").contains("known: hosts[0].health"));
+    assert!(error_for("\"seed\"", "\"sead\"").contains("seed is missing"));
+    assert!(error_for("8c1f30d27a5be964", "eight").contains("seed is invalid"));
+    assert!(error_for("127.0.0.1:6379", "there").contains("listen is invalid"));
+    assert!(error_for("\"sockets\":256", "\"sockets\":0").contains("limits.sockets is invalid"));
+    assert!(error_for("\"GoalTimeMs\":120.0", "\"GoalTimeMs\":-1").contains("Classes[0].GoalTimeMs"));
+    assert!(error_for("\"health\":\"SERVING\"", "\"health\":\"?\"").contains("known: hosts[0].health"));
     assert!(Config::parse(b"{").unwrap_err().to_string().contains("line 1"));
 }
 
 proptest! {
-    /// Whatever a client, a node or discovery sends: a value or an error, no panic.
+    /// For arbitrary input from a client, a node or discovery, the parsers return a value or an error and
+    /// never panic.
     #[test]
-    fn no_input_ends_the_host(words in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 0..7),
-        text in "\\PC{0,80}", bytes in proptest::collection::vec(any::<u8>(), 0..60)) {
-        let mut words: Vec<Bytes> = words.into_iter().map(Bytes::from).collect();
-        let _ = request::parse(&words, &vocabulary());
-        if words.len() >= 4 {
-            (words[0], words[1], words[2]) = ("OBJ.GET".into(), PIECE.into(), ID.into());
-            words[3] = format!("{READ},{text}").into();
-            let _ = request::parse(&words[..4], &vocabulary());
+    fn arbitrary_input_causes_no_panic(
+        args in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 0..7),
+        text in "\\PC{0,80}", bytes in proptest::collection::vec(any::<u8>(), 0..60),
+    ) {
+        let mut args: Vec<Bytes> = args.into_iter().map(Bytes::from).collect();
+        let _ = request::parse(&args, &request_schema());
+        if args.len() >= 4 {
+            (args[0], args[1], args[2]) = ("OBJ.GET".into(), PIECE.into(), ID.into());
+            args[3] = format!("{READ},{text}").into();
+            let _ = request::parse(&args[..4], &request_schema());
         }
         let _ = node_list::parse(text.as_bytes());
         let _ = Config::parse(text.as_bytes());
--- a/crates/serving/src/client.rs
+++ b/crates/serving/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection: answers go out in the order of its commands.
+//! One client connection. Replies are sent in the order of the commands.
 
 use bytes::Bytes;
 use pearfork_net::{lock, Poller, Waiting, WriteBuffer};
@@ -7,34 +7,34 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 
-/// Commands of one connection without an answer; beyond it no more is read from it. Answers that its client has not taken
-/// count with them, by the size that an answer may have.
-const MOST_OPEN: usize = 32;
+/// Maximum number of unanswered commands of a connection; beyond it the connection is not read. Replies that
+/// the client has not read count as well, each with the maximum size of a reply.
+const MAX_OPEN_COMMANDS: usize = 32;
 
-/// What connections tell the thread that reads them.
+/// Notifications from connections to the thread that reads them.
 pub(crate) struct Mailbox {
     pub(crate) poller: Poller,
-    told: Mutex<Vec<ClientId>>,
+    notified: Mutex<Vec<ClientId>>,
 }
 
 impl Mailbox {
     pub(crate) fn new(poller: Poller) -> Mailbox {
-        Mailbox { poller, told: Mutex::default() }
+        Mailbox { poller, notified: Mutex::default() }
     }
 
-    /// A connection has something that its reader waits for.
-    fn tell(&self, id: ClientId) {
-        lock(&self.told).push(id);
+    /// Notifies the reader that a connection has changed in a way that it waits for.
+    fn notify(&self, id: ClientId) {
+        lock(&self.notified).push(id);
         self.poller.wake();
     }
 
-    /// Those that told something since the last call.
+    /// Returns the connections that sent a notification since the last call.
     pub(crate) fn take(&self) -> Vec<ClientId> {
-        std::mem::take(&mut *lock(&self.told))
+        std::mem::take(&mut *lock(&self.notified))
     }
 }
 
-/// Counts a descriptor in the table of client connections for as long as it lives.
+/// Counts a descriptor in the table of client connections while it is open.
 struct CountedDescriptor(Arc<Mutex<ClientTable>>);
 
 impl CountedDescriptor {
@@ -50,26 +50,26 @@
     }
 }
 
-/// One connection.
+/// A client connection.
 pub(crate) struct Client {
     pub(crate) id: ClientId,
     pub(crate) write_buffer: Arc<WriteBuffer>,
-    slots: Mutex<Slots>,
+    queue: Mutex<ReplyQueue>,
     mailbox: Arc<Mailbox>,
-    /// Dropped behind `write_buffer`, which closes the descriptor.
+    /// Dropped after `write_buffer`, which closes the descriptor.
     _descriptor: CountedDescriptor,
 }
 
-/// Answers in the order of their commands.
+/// Replies in the order of their commands. A slot is `None` until its command is answered.
 #[derive(Default)]
-struct Slots {
-    /// Number of the first that waits.
-    first: u64,
-    answers: VecDeque<Option<Bytes>>,
-    /// The reader waits for room.
-    wants_room: bool,
-    /// The reader waits for the last answer.
-    wants_end: bool,
+struct ReplyQueue {
+    /// Number of the first slot that is not yet sent.
+    first_slot: u64,
+    replies: VecDeque<Option<Bytes>>,
+    /// The reader waits until another command may be accepted.
+    notify_below_limit: bool,
+    /// The reader waits for the last reply.
+    notify_when_done: bool,
 }
 
 impl Client {
@@ -80,77 +80,79 @@
         table: Arc<Mutex<ClientTable>>,
     ) -> Client {
         let _descriptor = CountedDescriptor::new(table);
-        Client { id, write_buffer, slots: Mutex::default(), mailbox, _descriptor }
+        Client { id, write_buffer, queue: Mutex::default(), mailbox, _descriptor }
     }
 
-    /// Whether one more command may be taken; if not, the mailbox is told when it may.
-    pub(crate) fn has_room(&self) -> bool {
-        let not_taken = self.write_buffer.kept().div_ceil(MAX_VALUE);
-        let mut slots = lock(&self.slots);
-        slots.wants_room = slots.answers.len() >= MOST_OPEN;
-        slots.answers.len() + not_taken < MOST_OPEN
+    /// Whether another command may be accepted. If not, the mailbox is notified when one may.
+    pub(crate) fn can_accept_command(&self) -> bool {
+        let unread_replies = self.write_buffer.kept().div_ceil(MAX_VALUE);
+        let mut queue = lock(&self.queue);
+        queue.notify_below_limit = queue.replies.len() >= MAX_OPEN_COMMANDS;
+        queue.replies.len() + unread_replies < MAX_OPEN_COMMANDS
     }
 
-    /// Whether answers wait that its client has not taken.
+    /// Whether the client has not yet taken all replies that were written.
     pub(crate) fn has_unsent(&self) -> bool {
         self.write_buffer.kept() > 0
     }
 
-    /// A place for the answer to a command.
-    pub(crate) fn reserve(&self) -> u64 {
-        let mut slots = lock(&self.slots);
-        slots.answers.push_back(None);
-        slots.first + slots.answers.len() as u64 - 1
+    /// Reserves the slot for the reply to the next command.
+    pub(crate) fn reserve_slot(&self) -> u64 {
+        let mut queue = lock(&self.queue);
+        queue.replies.push_back(None);
+        queue.first_slot + queue.replies.len() as u64 - 1
     }
 
-    /// The answer to a command; it goes out when those before it have.
-    pub(crate) fn answer(&self, slot: u64, bytes: Bytes) {
-        let mut slots = lock(&self.slots);
-        let Some(place) = slot.checked_sub(slots.first) else { return };
-        if let Some(place) = slots.answers.get_mut(place as usize) {
-            *place = Some(bytes);
+    /// Stores the reply to a command. It is sent once all earlier replies are.
+    pub(crate) fn reply(&self, slot: u64, bytes: Bytes) {
+        let mut queue = lock(&self.queue);
+        let Some(index) = slot.checked_sub(queue.first_slot) else { return };
+        if let Some(reply) = queue.replies.get_mut(index as usize) {
+            *reply = Some(bytes);
         }
-        while matches!(slots.answers.front(), Some(Some(_))) {
-            if let Some(Some(bytes)) = slots.answers.pop_front() {
-                slots.first += 1;
-                // A connection that takes nothing is shut, which its reader sees.
+        while matches!(queue.replies.front(), Some(Some(_))) {
+            if let Some(Some(bytes)) = queue.replies.pop_front() {
+                queue.first_slot += 1;
+                // A failed write shuts the connection down, which its reader notices.
                 let _ = self.write_buffer.put(bytes);
             }
         }
-        let ended = slots.wants_end && slots.answers.is_empty();
-        let room = slots.wants_room && slots.answers.len() < MOST_OPEN;
-        slots.wants_room &= !room;
-        drop(slots);
-        if ended || room {
-            self.mailbox.tell(self.id);
+        let done = queue.notify_when_done && queue.replies.is_empty();
+        let below_limit = queue.notify_below_limit && queue.replies.len() < MAX_OPEN_COMMANDS;
+        queue.notify_below_limit &= !below_limit;
+        drop(queue);
+        if done || below_limit {
+            self.mailbox.notify(self.id);
         }
     }
 
-    /// No command is taken any more; the mailbox is told once all have their answers.
-    pub(crate) fn ending(&self) {
-        lock(&self.slots).wants_end = true;
+    /// Stops accepting commands; the mailbox is notified once all replies are written.
+    pub(crate) fn stop_accepting(&self) {
+        lock(&self.queue).notify_when_done = true;
     }
 
-    /// Whether an answer is owed.
-    pub(crate) fn owes(&self) -> bool {
-        !lock(&self.slots).answers.is_empty()
+    /// Whether a command is unanswered.
+    pub(crate) fn has_open_commands(&self) -> bool {
+        !lock(&self.queue).replies.is_empty()
     }
 
-    /// Whether bytes wait to be read.
+    /// Whether received data has not been read yet.
     pub(crate) fn has_unread(&self) -> bool {
         self.write_buffer.waiting() == Waiting::Bytes
     }
 
-    /// The client is gone, or has to go: its connection is over in both directions.
-    pub(crate) fn left(&self) {
+    /// Closes the connection in both directions because the client disconnected or is being evicted.
+    pub(crate) fn disconnect(&self) {
         self.write_buffer.abort();
     }
 
-    /// Whether the client closed its connection, ended its sending side, or had its connection ended by [`Client::left`].
+    /// Whether the client closed the connection, shut down its sending side, or was disconnected by
+    /// [`Client::disconnect`].
     ///
-    /// The socket itself is asked. Danger: the reader of client connections may not have come to this end yet, and its
-    /// word stands in the engine's queue behind everything else; an attempt begun meanwhile is begun for nobody.
-    pub(crate) fn is_gone(&self) -> bool {
+    /// This queries the socket itself. The client reader may not have seen the end of the connection yet, and
+    /// its notification is queued behind everything else the engine has to do; an attempt started in the
+    /// meantime would be sent for a client that no longer waits.
+    pub(crate) fn is_disconnected(&self) -> bool {
         self.write_buffer.has_ended()
     }
 }
--- a/crates/serving/src/client_reader.rs
+++ b/crates/serving/src/client_reader.rs
@@ -1,15 +1,15 @@
-//! The one thread that takes client connections and reads them.
+//! The thread that accepts client connections and reads them.
 
 use crate::client::{Client, Mailbox};
 use crate::engine::Message;
-use crate::test_hooks::{Pauses, Point};
+use crate::test_hooks::{Point, TestHooks};
 use bytes::Bytes;
 use crossbeam_channel::Sender;
 use pearfork_net::{lock, long_queue, Clock, Flusher, Ready, Want, WriteBuffer, MOST_TOLD};
-use pearfork_platform::clients::{AfterFault, ClientId, ClientTable};
+use pearfork_platform::clients::{AfterError, ClientId, ClientTable};
 use pearfork_platform::config::RequestSchema;
-use pearfork_platform::lifecycle::{Effect, Event, Life, State};
-use pearfork_platform::request::{self, Parsed};
+use pearfork_platform::lifecycle::{Effect, Event, Lifecycle, State};
+use pearfork_platform::request::{self, ClientCommand};
 use pearfork_resp::{write, CommandDecoder};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
@@ -17,75 +17,79 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Connections that the system holds until they are accepted.
-const QUEUE: i32 = 1024;
-/// The listener's token; connections are numbered from 1.
-const LISTENER: u64 = 0;
-/// Connections taken before those that are there are read again.
-const AT_ONCE: usize = 64;
-/// Bytes read from one connection before the next has its turn.
-const PIECE: usize = 16 * 1024;
-/// How often idle and silent connections are looked at, and how often while the host leaves.
-const SWEEP_MS: f64 = 200.0;
-const LEAVING_MS: f64 = 10.0;
-/// How often a write buffer is looked at whose connection ends once it is empty.
-const FLUSH_LOOK_MS: f64 = 5.0;
-/// How long what arrives behind an end of ours is read, and how long where the host leaves: a client that saw the end
-/// closes by itself.
+/// Length of the kernel's queue of connections that are not accepted yet.
+const ACCEPT_QUEUE_LEN: i32 = 1024;
+/// Poll token of the listener; connections are numbered from 1.
+const LISTENER_TOKEN: u64 = 0;
+/// Maximum number of connections accepted before existing ones are read again.
+const MAX_ACCEPTS_PER_POLL: usize = 64;
+/// Maximum number of bytes read from one connection before the next one is read.
+const READ_CHUNK: usize = 16 * 1024;
+/// Interval between checks for connections to close, in normal operation.
+const SWEEP_INTERVAL_MS: f64 = 200.0;
+/// Interval between these checks during shutdown.
+const SHUTDOWN_SWEEP_INTERVAL_MS: f64 = 10.0;
+/// Interval between checks of the write buffer of a connection that is closed once the buffer is empty.
+const FLUSH_CHECK_MS: f64 = 5.0;
+/// How long incoming data is read after the sending side was shut down, in normal operation. A client that
+/// sees the end of the connection closes it itself.
 const LINGER_MS: f64 = 500.0;
-const LEAVING_LINGER_MS: f64 = 120.0;
-/// How long none is taken where the system gives no descriptor, or where no connection may go for another.
-const NO_ROOM_MS: f64 = 5.0;
+/// The same during shutdown.
+const SHUTDOWN_LINGER_MS: f64 = 120.0;
+/// Pause in accepting when no descriptor is available or no connection can be evicted.
+const ACCEPT_PAUSE_MS: f64 = 5.0;
 
-/// A wait of this length found nothing when it was asked for.
-const BLOCKED_MS: f64 = 1.0;
+/// A poll that took at least this long found nothing ready when it began.
+const MIN_BLOCKED_MS: f64 = 1.0;
 
-/// How far a host that leaves has come. Connections are taken up to its end: what the system took in its name is owed
-/// an answer.
+/// Progress of a shutdown. Connections are accepted until its end, since the client of a connection in the
+/// kernel's queue is owed an answer.
 #[derive(Debug, Default)]
-pub(crate) struct Leaving {
-    /// Those that rest are closed.
-    pub(crate) closing: AtomicBool,
-    /// All with nothing open are closed.
-    pub(crate) last: AtomicBool,
-    /// The thread is to end.
-    pub(crate) over: AtomicBool,
+pub(crate) struct ShutdownFlags {
+    /// Close connections that are idle and from which nothing is expected.
+    pub(crate) close_idle: AtomicBool,
+    /// Close all connections without open requests.
+    pub(crate) close_all: AtomicBool,
+    /// Stop the thread.
+    pub(crate) stop: AtomicBool,
 }
 
-/// A connection as its reader has it.
-struct Reading {
+/// State of a connection that belongs to its reader.
+struct Connection {
     client: Arc<Client>,
-    commands: CommandDecoder,
-    life: Life,
-    /// What was read last had not come before this moment.
-    came_after: f64,
-    /// Nothing was read since this moment, or, of one that was just taken, nobody looked.
+    decoder: CommandDecoder,
+    lifecycle: Lifecycle,
+    /// The data read last arrived after this time.
+    arrived_after: f64,
+    /// Time since which the connection has not been read or, if it was just accepted, polled.
     unread_since: Option<f64>,
 }
 
-/// Between which waits something came.
+/// Estimates when data arrived on the sockets.
 ///
-/// Danger: a client's time runs from its sending. Where this thread was held up, what it reads came some time ago, and a
-/// node that is told the whole time would be told more than its client has left.
+/// The time that a client waits runs from its sending of a request. If this thread is delayed, data has been
+/// waiting for a while when it is read; a node that is given the full time would be given more than its
+/// client has left.
 #[derive(Debug, Default)]
-struct Arrivals {
-    /// What the last wait told had not come before this moment.
-    came_after: f64,
-    /// When the last wait ended.
-    told_at: Option<f64>,
+struct ArrivalEstimate {
+    /// The data reported by the last poll arrived after this time.
+    arrived_after: f64,
+    /// Time at which the last poll ended.
+    last_poll_end: Option<f64>,
 }
 
-impl Arrivals {
-    /// A wait that was asked for at one moment ended at another and told of so many sockets.
-    fn told(&mut self, asked_at: f64, ended_at: f64, sockets: usize) {
-        let before = self.told_at.replace(ended_at);
-        self.came_after = match before {
-            Some(told_at) if ended_at - asked_at < BLOCKED_MS => {
-                // Where so many are told that others may have waited longer, nothing new is known of these.
+impl ArrivalEstimate {
+    /// Records a poll that ran from `began_at` to `ended_at` and reported `sockets` ready sockets.
+    fn record_poll(&mut self, began_at: f64, ended_at: f64, sockets: usize) {
+        let before = self.last_poll_end.replace(ended_at);
+        self.arrived_after = match before {
+            Some(last_poll_end) if ended_at - began_at < MIN_BLOCKED_MS => {
+                // With this many ready sockets others may have been left out and waited for longer, so the
+                // estimate is not advanced.
                 if sockets < MOST_TOLD {
-                    told_at
+                    last_poll_end
                 } else {
-                    self.came_after
+                    self.arrived_after
                 }
             }
             _ => ended_at,
@@ -93,209 +97,216 @@
     }
 }
 
-/// How far the commands of a connection were taken.
-enum Taken {
-    /// All that came.
+/// Result of reading the commands of a connection.
+enum Accepted {
+    /// All complete commands were accepted.
     All,
-    /// As many are open as may be.
-    Full,
-    /// One made no sense.
+    /// The maximum number of commands is open.
+    AtLimit,
+    /// An invalid command was received; read nothing until the given time.
     Pause(f64),
-    /// Nothing more is taken from it.
-    End,
+    /// No further commands are accepted.
+    Close,
 }
 
-/// Reads all client connections.
-pub(crate) struct Front {
+/// Accepts and reads all client connections.
+pub(crate) struct ClientReader {
     pub(crate) mailbox: Arc<Mailbox>,
     pub(crate) table: Arc<Mutex<ClientTable>>,
-    pub(crate) vocabulary: RequestSchema,
+    pub(crate) schema: RequestSchema,
     pub(crate) engine: Sender<Message>,
     pub(crate) clock: Clock,
     pub(crate) flusher: Flusher,
-    pub(crate) leaving: Arc<Leaving>,
-    pub(crate) pauses: Pauses,
-    clients: HashMap<ClientId, Reading>,
-    /// Those that have to be looked at though nothing comes on them: that end, pause, or wait for room.
-    timed: BTreeSet<ClientId>,
-    next: ClientId,
-    /// Until when no connection is taken.
-    pause: Option<f64>,
-    /// Since when connections may wait to be taken.
+    pub(crate) shutdown: Arc<ShutdownFlags>,
+    pub(crate) hooks: TestHooks,
+    connections: HashMap<ClientId, Connection>,
+    /// Connections that need attention without new data: they are being closed, paused, or waiting to accept
+    /// commands.
+    need_attention: BTreeSet<ClientId>,
+    last_id: ClientId,
+    /// Time until which no connection is accepted.
+    accept_paused_until: Option<f64>,
+    /// Time since which connections may be waiting to be accepted.
     queued_since: Option<f64>,
-    arrivals: Arrivals,
+    arrivals: ArrivalEstimate,
 }
 
-impl Front {
+impl ClientReader {
     pub(crate) fn new(
         mailbox: Arc<Mailbox>,
         table: Arc<Mutex<ClientTable>>,
-        vocabulary: RequestSchema,
+        schema: RequestSchema,
         engine: Sender<Message>,
         clock: Clock,
         flusher: Flusher,
-        leaving: Arc<Leaving>,
-    ) -> Front {
-        Front {
+        shutdown: Arc<ShutdownFlags>,
+    ) -> ClientReader {
+        ClientReader {
             mailbox,
             table,
-            vocabulary,
+            schema,
             engine,
             clock,
             flusher,
-            leaving,
-            pauses: Pauses::default(),
-            clients: HashMap::new(),
-            timed: BTreeSet::new(),
-            next: LISTENER,
-            pause: None,
+            shutdown,
+            hooks: TestHooks::default(),
+            connections: HashMap::new(),
+            need_attention: BTreeSet::new(),
+            last_id: LISTENER_TOKEN,
+            accept_paused_until: None,
             queued_since: None,
-            arrivals: Arrivals::default(),
+            arrivals: ArrivalEstimate::default(),
         }
     }
 
-    /// Watches the listener.
+    /// Registers the listener with the poller.
     ///
     /// # Errors
-    /// What the system says.
-    pub(crate) fn open(&self, listener: &TcpListener) -> io::Result<()> {
-        long_queue(listener, QUEUE)?;
+    /// The error of the system call.
+    pub(crate) fn register_listener(&self, listener: &TcpListener) -> io::Result<()> {
+        long_queue(listener, ACCEPT_QUEUE_LEN)?;
         listener.set_nonblocking(true)?;
-        self.mailbox.poller.add(listener, LISTENER, Want::Read)
+        self.mailbox.poller.add(listener, LISTENER_TOKEN, Want::Read)
     }
 
-    /// Runs until told to stop.
+    /// Runs until stopped.
     pub(crate) fn run(mut self, listener: &TcpListener) {
         let mut ready = Vec::new();
-        let mut piece = vec![0u8; PIECE];
-        let mut sweep = self.clock.now_ms() + SWEEP_MS;
-        let mut is_shut = false;
-        while !self.leaving.over.load(Ordering::SeqCst) {
-            let due = self.due(sweep);
-            let asked_at = self.clock.now_ms();
+        let mut chunk = vec![0u8; READ_CHUNK];
+        let mut sweep = self.clock.now_ms() + SWEEP_INTERVAL_MS;
+        let mut listener_closed = false;
+        while !self.shutdown.stop.load(Ordering::SeqCst) {
+            let due = self.next_due(sweep);
+            let began_at = self.clock.now_ms();
             if let Err(why) = self.mailbox.poller.wait(&mut ready, Some(self.clock.instant(due))) {
-                tracing::error!(%why, "connections can't be waited for");
+                tracing::error!(%why, "polling client connections failed");
                 return;
             }
-            self.arrivals.told(asked_at, self.clock.now_ms(), ready.len());
-            self.pauses.at(Point::ReaderLooks);
-            for one in &ready {
-                match one.token {
-                    LISTENER => self.accept(listener),
-                    _ => self.ready(*one, &mut piece),
+            self.arrivals.record_poll(began_at, self.clock.now_ms(), ready.len());
+            self.hooks.reach(Point::ReaderPoll);
+            for event in &ready {
+                match event.token {
+                    LISTENER_TOKEN => self.accept(listener),
+                    _ => self.handle_ready(*event, &mut chunk),
                 }
             }
             for id in self.mailbox.take() {
-                self.room(id);
-                self.advance(id);
+                self.resume_if_below_limit(id);
+                self.advance_close(id);
             }
             let now = self.clock.now_ms();
-            self.look(now, listener);
-            if !is_shut && self.leaving.last.load(Ordering::SeqCst) {
-                is_shut = self.shut(listener);
+            self.handle_due(now, listener);
+            if !listener_closed && self.shutdown.close_all.load(Ordering::SeqCst) {
+                listener_closed = self.close_listener(listener);
             }
-            let closing = self.leaving.closing.load(Ordering::SeqCst);
-            if now >= sweep || (closing && sweep > now + LEAVING_MS) {
-                sweep = now + if closing { LEAVING_MS } else { SWEEP_MS };
+            let closing = self.shutdown.close_idle.load(Ordering::SeqCst);
+            if now >= sweep || (closing && sweep > now + SHUTDOWN_SWEEP_INTERVAL_MS) {
+                sweep = now + if closing { SHUTDOWN_SWEEP_INTERVAL_MS } else { SWEEP_INTERVAL_MS };
                 self.sweep(now, closing);
             }
         }
         pearfork_net::shut_listener(listener);
     }
 
-    /// When something has to be looked at though nothing comes.
-    fn due(&self, sweep: f64) -> f64 {
-        let timed =
-            self.timed.iter().filter_map(|id| self.clients.get(id)).filter_map(|r| match r.life.state() {
-                State::Flushing(_) => Some(self.clock.now_ms() + FLUSH_LOOK_MS),
-                State::Full if r.client.has_unsent() => Some(self.clock.now_ms() + FLUSH_LOOK_MS),
-                _ => r.life.due(),
-            });
-        timed.chain(self.pause).fold(sweep, f64::min)
+    /// Time at which connections need attention even if no data arrives.
+    fn next_due(&self, sweep: f64) -> f64 {
+        let times = self.need_attention.iter().filter_map(|id| self.connections.get(id)).filter_map(|c| {
+            match c.lifecycle.state() {
+                State::Flushing(_) => Some(self.clock.now_ms() + FLUSH_CHECK_MS),
+                State::AtRequestLimit if c.client.has_unsent() => Some(self.clock.now_ms() + FLUSH_CHECK_MS),
+                _ => c.lifecycle.next_due(),
+            }
+        });
+        times.chain(self.accept_paused_until).fold(sweep, f64::min)
     }
 
-    /// Goes on with a connection that waited for room, if there is some.
-    fn room(&mut self, id: ClientId) {
-        let has_room = |r: &Reading| r.life.state() == State::Full && r.client.has_room();
-        if self.clients.get(&id).is_some_and(has_room) {
-            self.on(id, Event::Room);
-            self.go_on(id);
+    /// Resumes a connection that has waited to accept commands, if it now may.
+    fn resume_if_below_limit(&mut self, id: ClientId) {
+        let below_limit =
+            |c: &Connection| c.lifecycle.state() == State::AtRequestLimit && c.client.can_accept_command();
+        if self.connections.get(&id).is_some_and(below_limit) {
+            self.handle_event(id, Event::BelowLimit);
+            self.resume(id);
         }
     }
 
-    /// Takes what a connection that was not read has in its buffer, and then what came meanwhile, or learns that nothing
-    /// did.
-    fn go_on(&mut self, id: ClientId) {
-        self.work(id);
-        if self.clients.get(&id).is_some_and(|r| r.life.takes_commands()) {
-            self.ready(Ready { token: id, broken: false, ended: false }, &mut vec![0u8; PIECE]);
+    /// Handles commands that were buffered while the connection was not read, then reads what arrived in the
+    /// meantime. The read also records that nothing is left unread.
+    fn resume(&mut self, id: ClientId) {
+        self.accept_commands(id);
+        if self.connections.get(&id).is_some_and(|c| c.lifecycle.accepts_commands()) {
+            self.handle_ready(Ready { token: id, broken: false, ended: false }, &mut vec![0u8; READ_CHUNK]);
         }
     }
 
-    /// Goes on with what waited for its time.
-    fn look(&mut self, now: f64, listener: &TcpListener) {
-        for id in self.timed.iter().copied().collect::<Vec<ClientId>>() {
-            let paused = |front: &Front| {
-                front.clients.get(&id).is_some_and(|r| matches!(r.life.state(), State::Paused(_)))
+    /// Handles connections whose time has come, and resumes accepting after a pause.
+    fn handle_due(&mut self, now: f64, listener: &TcpListener) {
+        for id in self.need_attention.iter().copied().collect::<Vec<ClientId>>() {
+            let is_paused = |reader: &ClientReader| {
+                reader.connections.get(&id).is_some_and(|c| matches!(c.lifecycle.state(), State::Paused(_)))
             };
-            let before = paused(self);
-            self.on(id, Event::Tick);
-            if before && !paused(self) {
-                self.go_on(id);
+            let was_paused = is_paused(self);
+            self.handle_event(id, Event::Tick);
+            if was_paused && !is_paused(self) {
+                self.resume(id);
             }
-            self.room(id);
-            self.advance(id);
+            self.resume_if_below_limit(id);
+            self.advance_close(id);
         }
-        if self.pause.is_some_and(|until| now >= until) {
-            self.pause = None;
-            let _ = self.mailbox.poller.change(listener, LISTENER, Want::Read);
+        if self.accept_paused_until.is_some_and(|until| now >= until) {
+            self.accept_paused_until = None;
+            let _ = self.mailbox.poller.change(listener, LISTENER_TOKEN, Want::Read);
         }
     }
 
-    /// Ends those that the table names. What came and was not read yet is read first.
+    /// Closes the connections that the table selects, unless data on them has not been read yet.
     fn sweep(&mut self, now: f64, closing: bool) {
-        let those = {
+        let selected = {
             let table = lock(&self.table);
-            match (closing, self.leaving.last.load(Ordering::SeqCst)) {
+            match (closing, self.shutdown.close_all.load(Ordering::SeqCst)) {
                 (false, _) => table.overdue(now),
-                (true, false) => table.resting(now),
+                (true, false) => table.quiescent(now),
                 (true, true) => table.idle(),
             }
         };
-        for id in those {
-            // Danger: one that is not read for want of room may have whole commands in its buffer.
-            let rests = |r: &Reading| r.life.state() != State::Full && !r.client.has_unread();
-            if self.clients.get(&id).is_some_and(rests) {
-                self.pauses.at(Point::ReaderEnds);
-                self.end(id);
+        for id in selected {
+            // The buffer of a connection that is not read because too many commands are open may hold
+            // complete commands.
+            let is_quiet =
+                |c: &Connection| c.lifecycle.state() != State::AtRequestLimit && !c.client.has_unread();
+            if self.connections.get(&id).is_some_and(is_quiet) {
+                self.hooks.reach(Point::ReaderClose);
+                self.close(id);
             }
         }
     }
 
     fn accept(&mut self, listener: &TcpListener) {
-        for _ in 0..AT_ONCE {
-            // Danger: with no descriptor left the listener stays ready, and this thread would turn without end.
-            if !lock(&self.table).has_room(self.clock.now_ms()) {
-                return self.pause(listener);
+        for _ in 0..MAX_ACCEPTS_PER_POLL {
+            // Without this check, running out of descriptors would leave the listener ready and make this
+            // thread spin.
+            if !lock(&self.table).can_accept(self.clock.now_ms()) {
+                return self.pause_accepting(listener);
             }
             match listener.accept() {
-                Ok((stream, _)) => self.welcome(stream),
+                Ok((stream, _)) => self.add_connection(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.queued_since = None;
                     return;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.pause(listener),
+                Err(_) => return self.pause_accepting(listener),
             }
         }
-        self.queued_since.get_or_insert(self.arrivals.came_after);
+        self.queued_since.get_or_insert(self.arrivals.arrived_after);
     }
 
-    /// Takes the connections that wait, and then no more; false where some still wait for room.
+    /// Accepts the connections that are queued and then closes the listener. Returns `false` if some of them
+    /// still wait for room.
     ///
-    /// Danger: one that the system took in this host's name and that nobody reads is reset when the host is gone, and so
-    /// is the request on it. A client whose connection is refused goes elsewhere.
-    fn shut(&mut self, listener: &TcpListener) -> bool {
+    /// A connection that the kernel accepted for this host is reset when the host exits, and the request on
+    /// it is lost. A client whose connection is refused tries another host.
+    fn close_listener(&mut self, listener: &TcpListener) -> bool {
         self.accept(listener);
         if self.queued_since.is_some() {
             return false;
@@ -305,217 +316,239 @@
         true
     }
 
-    /// Takes no connection for a moment.
-    fn pause(&mut self, listener: &TcpListener) {
-        self.queued_since.get_or_insert(self.arrivals.came_after);
-        self.pause = Some(self.clock.now_ms() + NO_ROOM_MS);
-        let _ = self.mailbox.poller.change(listener, LISTENER, Want::Nothing);
+    /// Pauses accepting for a moment.
+    fn pause_accepting(&mut self, listener: &TcpListener) {
+        self.queued_since.get_or_insert(self.arrivals.arrived_after);
+        self.accept_paused_until = Some(self.clock.now_ms() + ACCEPT_PAUSE_MS);
+        let _ = self.mailbox.poller.change(listener, LISTENER_TOKEN, Want::Nothing);
     }
 
-    fn welcome(&mut self, stream: TcpStream) {
-        self.next += 1;
-        let (id, now) = (self.next, self.clock.now_ms());
-        let (victim, held) = {
+    fn add_connection(&mut self, stream: TcpStream) {
+        self.last_id += 1;
+        let (id, now) = (self.last_id, self.clock.now_ms());
+        let (evicted, still_in_table) = {
             let mut table = lock(&self.table);
-            let victim = table.arrived(now, id);
-            (victim, victim.is_some_and(|v| table.holds(v)))
+            let evicted = table.add(now, id);
+            (evicted, evicted.is_some_and(|v| table.contains(v)))
         };
-        match victim {
-            Some(newcomer) if newcomer == id => return,
-            // Danger: what came on it and was not read yet is a request that its client is owed an answer to.
-            Some(victim) if held && self.has_unread(victim) => {}
-            Some(victim) if held => self.end(victim),
-            Some(victim) => self.on(victim, Event::Evicted),
+        match evicted {
+            Some(new_id) if new_id == id => return,
+            // Unread data on the evicted connection may be a request, which is owed an answer.
+            Some(evicted) if still_in_table && self.has_unread(evicted) => {}
+            Some(evicted) if still_in_table => self.close(evicted),
+            Some(evicted) => self.handle_event(evicted, Event::Evicted),
             None => {}
         }
-        // Danger: small writes that the system holds back go with a connection that is reset.
+        // Data that Nagle's algorithm holds back would be lost if the connection is reset.
         let _ = stream.set_nodelay(true);
         let write_buffer = WriteBuffer::new(stream, &self.flusher);
         let client = Arc::new(Client::new(id, write_buffer, self.mailbox.clone(), self.table.clone()));
         if self.mailbox.poller.add(client.write_buffer.stream(), id, Want::Read).is_err() {
-            lock(&self.table).left(id);
+            lock(&self.table).remove(id);
             return;
         }
-        let commands = CommandDecoder::new(request::COMMAND_LIMITS);
-        let (came_after, unread_since) = (now, self.queued_since);
-        let reading = Reading { client, commands, life: Life::default(), came_after, unread_since };
-        self.clients.insert(id, reading);
-        // What came while it waited to be taken is read now, so that what comes later is not dated back to its wait.
-        self.go_on(id);
+        let decoder = CommandDecoder::new(request::COMMAND_LIMITS);
+        let (arrived_after, unread_since) = (now, self.queued_since);
+        let connection =
+            Connection { client, decoder, lifecycle: Lifecycle::default(), arrived_after, unread_since };
+        self.connections.insert(id, connection);
+        // Reads what arrived while the connection was queued, so that later data is not dated back to that
+        // wait.
+        self.resume(id);
     }
 
     fn has_unread(&self, id: ClientId) -> bool {
-        self.clients.get(&id).is_some_and(|r| r.client.has_unread())
+        self.connections.get(&id).is_some_and(|c| c.client.has_unread())
     }
 
-    /// The host ends a connection: what was taken is answered, then it lingers for what crosses the end.
-    fn end(&mut self, id: ClientId) {
+    /// Closes a connection: accepted commands are answered, then incoming data is discarded for a while.
+    fn close(&mut self, id: ClientId) {
         let now = self.clock.now_ms();
-        lock(&self.table).ending(now, id);
-        if let Some(r) = self.clients.get(&id) {
-            r.client.ending();
+        lock(&self.table).begin_close(now, id);
+        if let Some(c) = self.connections.get(&id) {
+            c.client.stop_accepting();
         }
-        self.on(id, Event::End);
-        self.advance(id);
+        self.handle_event(id, Event::Close);
+        self.advance_close(id);
     }
 
-    /// Takes the end of a connection as far as it has come.
-    fn advance(&mut self, id: ClientId) {
-        while let Some(r) = self.clients.get(&id) {
-            match r.life.state() {
-                State::Ending if !r.client.owes() => self.on(id, Event::Answered),
-                State::Flushing(_) if r.client.write_buffer.kept() == 0 => {
-                    lock(&self.table).flushing(id, false);
-                    self.on(id, Event::Flushed);
+    /// Moves a connection that is being closed through its remaining states as far as possible.
+    fn advance_close(&mut self, id: ClientId) {
+        while let Some(c) = self.connections.get(&id) {
+            match c.lifecycle.state() {
+                State::AwaitingReplies if !c.client.has_open_commands() => {
+                    self.handle_event(id, Event::AllAnswered)
+                }
+                State::Flushing(_) if c.client.write_buffer.kept() == 0 => {
+                    lock(&self.table).set_flushing(id, false);
+                    self.handle_event(id, Event::Flushed);
                 }
-                State::Flushing(_) => return lock(&self.table).flushing(id, true),
+                State::Flushing(_) => return lock(&self.table).set_flushing(id, true),
                 _ => return,
             }
         }
     }
 
-    /// Something happened to a connection.
-    fn on(&mut self, id: ClientId, event: Event) {
+    /// Passes an event to the state machine of a connection.
+    fn handle_event(&mut self, id: ClientId, event: Event) {
         let now = self.clock.now_ms();
-        let leaving = self.leaving.closing.load(Ordering::SeqCst);
-        let linger = if leaving { LEAVING_LINGER_MS } else { LINGER_MS };
-        let Some(r) = self.clients.get_mut(&id) else { return };
-        let before = r.life;
-        let effect = r.life.on(now, linger, event);
-        if r.life != before {
-            tracing::debug!(client = id, ?event, from = ?before.state(), to = ?r.life.state(), "connection");
+        let is_shutting_down = self.shutdown.close_idle.load(Ordering::SeqCst);
+        let linger = if is_shutting_down { SHUTDOWN_LINGER_MS } else { LINGER_MS };
+        let Some(c) = self.connections.get_mut(&id) else { return };
+        let before = c.lifecycle;
+        let effect = c.lifecycle.handle(now, linger, event);
+        if c.lifecycle != before {
+            tracing::debug!(
+                client = id,
+                ?event,
+                from = ?before.state(),
+                to = ?c.lifecycle.state(),
+                "connection"
+            );
         }
         match effect {
             Effect::None => {}
-            Effect::EndSending => r.client.write_buffer.end_sending(),
-            Effect::Close => return self.closed(id),
+            Effect::ShutdownWrite => c.client.write_buffer.end_sending(),
+            Effect::Close => return self.remove(id),
         }
-        let life = r.life;
-        if before.reads() && !life.reads() {
-            r.unread_since.get_or_insert(now);
+        let lifecycle = c.lifecycle;
+        if before.reads() && !lifecycle.reads() {
+            c.unread_since.get_or_insert(now);
         }
-        if before.reads() != life.reads() {
-            let want = if life.reads() { Want::Read } else { Want::Nothing };
-            let _ = self.mailbox.poller.change(r.client.write_buffer.stream(), id, want);
+        if before.reads() != lifecycle.reads() {
+            let want = if lifecycle.reads() { Want::Read } else { Want::Nothing };
+            let _ = self.mailbox.poller.change(c.client.write_buffer.stream(), id, want);
         }
-        if life.is_ending() || life.state() == State::Full || life.due().is_some() {
-            self.timed.insert(id);
+        if lifecycle.is_closing()
+            || lifecycle.state() == State::AtRequestLimit
+            || lifecycle.next_due().is_some()
+        {
+            self.need_attention.insert(id);
         } else {
-            self.timed.remove(&id);
+            self.need_attention.remove(&id);
         }
     }
 
-    /// A connection is over.
-    fn closed(&mut self, id: ClientId) {
-        lock(&self.table).left(id);
-        self.timed.remove(&id);
-        let Some(reading) = self.clients.remove(&id) else { return };
-        self.mailbox.poller.remove(reading.client.write_buffer.stream());
-        let owes = reading.client.owes();
-        reading.client.left();
-        if owes {
-            let _ = self.engine.send(Message::ClientGone(id));
+    /// Removes a connection that is closed.
+    fn remove(&mut self, id: ClientId) {
+        lock(&self.table).remove(id);
+        self.need_attention.remove(&id);
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.mailbox.poller.remove(connection.client.write_buffer.stream());
+        let has_open_commands = connection.client.has_open_commands();
+        connection.client.disconnect();
+        if has_open_commands {
+            let _ = self.engine.send(Message::ClientDisconnected(id));
         }
     }
 
-    /// Something came on a connection, or it ended.
-    fn ready(&mut self, ready: Ready, piece: &mut [u8]) {
+    /// Handles a connection that has data or has ended.
+    fn handle_ready(&mut self, ready: Ready, chunk: &mut [u8]) {
         let id = ready.token;
-        let Some(reading) = self.clients.get_mut(&id) else { return };
-        if !reading.life.reads() {
-            // Danger: an end behind what is not read. Its client has left, and what waits for it would still be sent.
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.lifecycle.reads() {
+            // The end of a connection is seen even while it is not read; otherwise its waiting requests would
+            // be sent for a client that has disconnected.
             if ready.ended {
-                self.on(id, Event::Gone);
+                self.handle_event(id, Event::Disconnected);
             }
             return;
         }
-        match reading.client.write_buffer.read_now(piece) {
-            Ok(None) => reading.unread_since = None,
-            Ok(Some(0)) | Err(_) => self.on(id, Event::Gone),
-            // Danger: a request that crosses our end is sent once more by its client; taken here, it would run twice.
-            Ok(Some(n)) if reading.life.is_ending() => self.on(id, Event::Discarded(n)),
+        match connection.client.write_buffer.read_now(chunk) {
+            Ok(None) => connection.unread_since = None,
+            Ok(Some(0)) | Err(_) => self.handle_event(id, Event::Disconnected),
+            // The client sends a request that arrives now once more on another connection; executed here, it
+            // would run twice.
+            Ok(Some(n)) if connection.lifecycle.is_closing() => self.handle_event(id, Event::Discarded(n)),
             Ok(Some(n)) => {
-                let came_after = self.arrivals.came_after;
-                reading.came_after = reading.unread_since.take().map_or(came_after, |at| at.min(came_after));
-                reading.commands.buffer().extend_from_slice(&piece[..n]);
-                self.work(id);
+                let arrived_after = self.arrivals.arrived_after;
+                connection.arrived_after =
+                    connection.unread_since.take().map_or(arrived_after, |at| at.min(arrived_after));
+                connection.decoder.buffer().extend_from_slice(&chunk[..n]);
+                self.accept_commands(id);
             }
         }
     }
 
-    /// Takes what came on a connection, as far as it may go.
-    fn work(&mut self, id: ClientId) {
-        let Some(reading) = self.clients.get_mut(&id).filter(|r| r.life.takes_commands()) else { return };
-        match reading.take(&self.table, &self.vocabulary, &self.engine, self.clock) {
-            Taken::All => {}
-            Taken::Full => self.on(id, Event::Full),
-            Taken::Pause(until) => self.on(id, Event::Pause(until)),
-            Taken::End => self.end(id),
+    /// Accepts the commands that were received, as far as the connection allows.
+    fn accept_commands(&mut self, id: ClientId) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|c| c.lifecycle.accepts_commands())
+        else {
+            return;
+        };
+        match connection.accept_commands(&self.table, &self.schema, &self.engine, self.clock) {
+            Accepted::All => {}
+            Accepted::AtLimit => self.handle_event(id, Event::LimitReached),
+            Accepted::Pause(until) => self.handle_event(id, Event::Pause(until)),
+            Accepted::Close => self.close(id),
         }
     }
 }
 
-impl Reading {
-    /// Takes whole commands.
-    fn take(
+impl Connection {
+    /// Accepts complete commands.
+    fn accept_commands(
         &mut self,
         table: &Mutex<ClientTable>,
-        vocabulary: &RequestSchema,
+        schema: &RequestSchema,
         engine: &Sender<Message>,
         clock: Clock,
-    ) -> Taken {
+    ) -> Accepted {
         let client = &self.client;
-        while client.has_room() {
-            let words = match self.commands.next_command() {
-                Ok(Some(words)) => words,
+        while client.can_accept_command() {
+            let args = match self.decoder.next_command() {
+                Ok(Some(args)) => args,
                 Ok(None) => {
-                    if self.commands.has_partial() {
-                        lock(table).partial(clock.now_ms(), client.id);
+                    if self.decoder.has_partial() {
+                        lock(table).partial_received(clock.now_ms(), client.id);
                     }
-                    return Taken::All;
+                    return Accepted::All;
                 }
-                Err(fault) => {
-                    // The frame is lost: the error is the last that this connection hears.
-                    client.answer(client.reserve(), error(&format!("Protocol error: {fault}")));
-                    let _ = engine.send(Message::Fault);
-                    return Taken::End;
+                Err(error) => {
+                    // The frame boundary is lost, so this error is the last reply on the connection.
+                    client.reply(client.reserve_slot(), error_reply(&format!("Protocol error: {error}")));
+                    let _ = engine.send(Message::InvalidCommand);
+                    return Accepted::Close;
                 }
             };
-            let (now, at) = (clock.now_ms(), self.came_after);
-            if !lock(table).began(now, client.id) {
-                return Taken::End;
+            let (now, arrived_at) = (clock.now_ms(), self.arrived_after);
+            if !lock(table).command_received(now, client.id) {
+                return Accepted::Close;
             }
-            let slot = client.reserve();
-            match request::parse(&words, vocabulary) {
-                Ok(Parsed::Asked(asked)) => {
-                    // The engine is gone only with the host.
-                    if engine.send(Message::Asked { client: client.clone(), slot, asked, at }).is_err() {
-                        return Taken::End;
+            let slot = client.reserve_slot();
+            match request::parse(&args, schema) {
+                Ok(ClientCommand::Request(request)) => {
+                    // The engine only goes away together with the host.
+                    if engine
+                        .send(Message::Request { client: client.clone(), slot, request, arrived_at })
+                        .is_err()
+                    {
+                        return Accepted::Close;
                     }
                 }
-                Ok(Parsed::Ping) => {
-                    client.answer(slot, write::bytes(|out| write::simple(out, "PONG")));
-                    lock(table).answered(now, client.id);
+                Ok(ClientCommand::Ping) => {
+                    client.reply(slot, write::bytes(|out| write::simple(out, "PONG")));
+                    lock(table).command_answered(now, client.id);
                 }
-                Err(fault) => {
-                    client.answer(slot, error(&fault.to_string()));
+                Err(error) => {
+                    client.reply(slot, error_reply(&error.to_string()));
                     let after = {
                         let mut table = lock(table);
-                        table.answered(now, client.id);
-                        table.fault(client.id)
+                        table.command_answered(now, client.id);
+                        table.invalid_command(client.id)
                     };
-                    let _ = engine.send(Message::Fault);
+                    let _ = engine.send(Message::InvalidCommand);
                     return match after {
-                        AfterFault::Pause(ms) => Taken::Pause(now + ms as f64),
-                        AfterFault::Close => Taken::End,
+                        AfterError::Pause(ms) => Accepted::Pause(now + ms as f64),
+                        AfterError::Close => Accepted::Close,
                     };
                 }
             }
         }
-        Taken::Full
+        Accepted::AtLimit
     }
 }
 
-fn error(words: &str) -> Bytes {
-    write::bytes(|out| write::error(out, &format!("ERR {words}")))
+fn error_reply(text: &str) -> Bytes {
+    write::bytes(|out| write::error(out, &format!("ERR {text}")))
 }
--- a/crates/serving/src/counters.rs
+++ b/crates/serving/src/counters.rs
@@ -1,28 +1,28 @@
-//! What a host counts, told in its log.
+//! Counters that a host writes to its log.
 
 use pearfork::{AttemptResult, Reason};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Counts since the last line.
+/// Counts since the last log line.
 #[derive(Default)]
-pub(crate) struct Tally {
-    pub(crate) asked: u64,
+pub(crate) struct Counters {
+    pub(crate) requests: u64,
     pub(crate) served: u64,
-    pub(crate) gone: u64,
-    pub(crate) faults: u64,
+    pub(crate) disconnected: u64,
+    pub(crate) invalid_commands: u64,
     pub(crate) refused: BTreeMap<Reason, u64>,
     pub(crate) failed: BTreeMap<Reason, u64>,
-    pub(crate) sent: u64,
-    pub(crate) ended: BTreeMap<&'static str, u64>,
-    pub(crate) opened: u64,
-    /// Longest time between a command's reading and its turn, milliseconds.
-    pub(crate) slowest_turn: f64,
+    pub(crate) attempts_sent: u64,
+    pub(crate) attempts_ended: BTreeMap<&'static str, u64>,
+    pub(crate) links_opened: u64,
+    /// Longest time a request waited between being read and being handled by the engine, in milliseconds.
+    pub(crate) max_queue_wait_ms: f64,
 }
 
-impl Tally {
-    pub(crate) fn ended(&mut self, verdict: AttemptResult) {
-        let word = match verdict {
+impl Counters {
+    pub(crate) fn attempt_ended(&mut self, result: AttemptResult) {
+        let label = match result {
             AttemptResult::Served => "served",
             AttemptResult::Error => "error",
             AttemptResult::Rejected => "full",
@@ -32,22 +32,28 @@
             AttemptResult::Cancelled => "cancelled",
             AttemptResult::NotSent => "moot",
         };
-        *self.ended.entry(word).or_insert(0) += 1;
+        *self.attempts_ended.entry(label).or_insert(0) += 1;
     }
 
-    /// One line, and from nothing again.
-    pub(crate) fn line(&mut self) -> String {
+    /// Formats the counts as one line and resets them.
+    pub(crate) fn take_log_line(&mut self) -> String {
         let t = std::mem::take(self);
         let mut line = format!(
-            "asked {} served {} gone {} faults {} sent {} opened {} slowest turn {:.1} ms",
-            t.asked, t.served, t.gone, t.faults, t.sent, t.opened, t.slowest_turn
+            "requests {} served {} disconnected {} invalid {} sent {} links {} longest queue wait {:.1} ms",
+            t.requests,
+            t.served,
+            t.disconnected,
+            t.invalid_commands,
+            t.attempts_sent,
+            t.links_opened,
+            t.max_queue_wait_ms
         );
-        for (word, n) in &t.ended {
-            let _ = write!(line, ", {word} {n}");
+        for (label, n) in &t.attempts_ended {
+            let _ = write!(line, ", {label} {n}");
         }
-        for (verb, counts) in [("refused", &t.refused), ("failed", &t.failed)] {
+        for (label, counts) in [("refused", &t.refused), ("failed", &t.failed)] {
             for (reason, n) in counts {
-                let _ = write!(line, ", {verb} {reason} {n}");
+                let _ = write!(line, ", {label} {reason} {n}");
             }
         }
         line
