--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -1,110 +1,116 @@
-//! The one thread that owns the driver, and carries out what the module says.
+//! The thread that owns the driver and carries out the scheduler's decisions.
 
 use crate::client::Client;
-use crate::counters::Tally;
-use crate::links::{Begun, Link, Nodes};
-use crate::test_hooks::{Pauses, Point};
+use crate::counters::Counters;
+use crate::links::{ConnectStart, Link, NodeLinks};
+use crate::test_hooks::{Point, TestHooks};
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use pearfork::{AttemptResult, ListKind};
 use pearfork_drive::{AttemptId, Driver, NodeReport, Step};
 use pearfork_net::{lock, Clock};
 use pearfork_platform::clients::{ClientId, ClientTable};
-use pearfork_platform::node_list::{Listing, NodeTable};
-use pearfork_platform::node_reply::Answer;
-use pearfork_platform::pool::{Do, LinkId, Pool};
-use pearfork_platform::request::Asked;
+use pearfork_platform::node_list::{NodeList, NodeTable};
+use pearfork_platform::node_reply::NodeReply;
+use pearfork_platform::pool::{LinkId, Pool, PoolAction};
+use pearfork_platform::request::ClientRequest;
 use pearfork_resp::write;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What the engine is told.
+/// Input of the engine.
 pub(crate) enum Message {
-    /// A request was read.
-    Asked { client: Arc<Client>, slot: u64, asked: Box<Asked>, at: f64 },
-    /// A client connection is over.
-    ClientGone(ClientId),
-    /// Something that made no sense was answered with an error.
-    Fault,
-    /// A connection to a node came up.
-    Up(LinkId, Arc<Link>),
-    /// It did not.
-    NotUp(LinkId),
-    /// An answer came on one.
-    Answered { link: LinkId, answer: Answer, at: f64 },
-    /// One is over; of the last `unsent` commands on it the last byte never went out.
-    Over { link: LinkId, unsent: usize },
-    /// The node list, or a change of it.
-    List(Listing),
-    /// The host leaves: all has its answer within this time, whatever its client would wait.
-    Leave(Duration),
-    /// How many requests are open, for a host that leaves.
-    Open(Sender<usize>),
-    /// Leave.
+    /// A request was received. It arrived after `arrived_at`, the estimate of the client reader.
+    Request { client: Arc<Client>, slot: u64, request: Box<ClientRequest>, arrived_at: f64 },
+    /// A client connection was closed.
+    ClientDisconnected(ClientId),
+    /// An invalid command was answered with an error.
+    InvalidCommand,
+    /// A link to a node was opened.
+    LinkOpened(LinkId, Arc<Link>),
+    /// A link to a node could not be opened.
+    LinkFailed(LinkId),
+    /// A reply was received on a link.
+    Reply { link: LinkId, reply: NodeReply, received_at: f64 },
+    /// A link was closed. The last `unsent` commands on it were not sent completely.
+    LinkClosed { link: LinkId, unsent: usize },
+    /// A node list or changes to it.
+    NodeList(NodeList),
+    /// The host shuts down: every request gets its final answer within this time, however long its client
+    /// would wait.
+    Shutdown(Duration),
+    /// Asks for the number of open requests, during shutdown.
+    CountOpen(Sender<usize>),
+    /// Stop the thread.
     Stop,
 }
 
-/// A request without an answer.
-struct Open {
+/// A request without a final answer.
+struct OpenRequest {
     client: Arc<Client>,
     slot: u64,
-    asked: Box<Asked>,
-    at: f64,
-    /// An attempt was written for it.
-    begun: bool,
+    request: Box<ClientRequest>,
+    arrived_at: f64,
+    /// Whether an attempt was written for it.
+    has_begun: bool,
 }
 
-/// A connection that this host had no means to begin.
-struct OpenAgain {
+/// A link that the host lacked the resources to open.
+struct ConnectRetry {
     link: LinkId,
     node: u32,
     at: f64,
-    /// It is given up then.
+    /// Time after which no further try is made.
     until: f64,
 }
 
-/// Most messages taken before timers are looked at again.
-const BATCH: usize = 64;
-/// How often idle and silent connections are looked at.
-const SWEEP_MS: f64 = 200.0;
-/// Pause before a connection is tried again that this host had no port, descriptor or memory for, and for how long it is.
-const OPEN_AGAIN_MS: f64 = 10.0;
-const OPEN_WITHIN_MS: f64 = 1_000.0;
-/// How often the counts are told.
-const TELL_MS: f64 = 5_000.0;
+/// Maximum number of messages that are handled before timers are checked again.
+const MAX_BATCH: usize = 64;
+/// Interval between checks for links that have been idle for too long.
+const SWEEP_INTERVAL_MS: f64 = 200.0;
+/// Pause before another try to open a link for which the host lacked a port, a descriptor or memory.
+const CONNECT_RETRY_INTERVAL_MS: f64 = 10.0;
+/// Time limit for such tries.
+const CONNECT_RETRY_LIMIT_MS: f64 = 1_000.0;
+/// Interval between log lines with the counters.
+const LOG_INTERVAL_MS: f64 = 5_000.0;
 
+/// Connects the scheduler's driver, the pool of links and the client connections.
 pub(crate) struct Engine {
     pub(crate) driver: Driver,
     pub(crate) pool: Pool,
     pub(crate) node_table: NodeTable,
     pub(crate) clock: Clock,
-    pub(crate) table: Arc<Mutex<ClientTable>>,
-    pub(crate) nodes: Arc<Nodes>,
-    /// How long a connection may take to come up, milliseconds.
-    pub(crate) connect_ms: f64,
-    pub(crate) pauses: Pauses,
-    work: Work,
+    pub(crate) clients: Arc<Mutex<ClientTable>>,
+    pub(crate) node_links: Arc<NodeLinks>,
+    /// Time limit for connecting, in milliseconds.
+    pub(crate) connect_timeout_ms: f64,
+    pub(crate) hooks: TestHooks,
+    state: State,
 }
 
+/// State of the engine that belongs to its thread alone.
 #[derive(Default)]
-struct Work {
-    open: HashMap<u32, Open>,
+struct State {
+    requests: HashMap<u32, OpenRequest>,
     by_client: BTreeSet<(ClientId, u32)>,
-    /// Clients' ids of open requests.
-    ids: HashSet<Bytes>,
-    /// Until when attempts that are out are waited for, and by when they have to be written.
-    until: HashMap<AttemptId, (f64, f64)>,
+    /// Client ids of open requests.
+    client_ids: HashSet<Bytes>,
+    /// For each attempt in flight, the time until which its response is awaited and the time by which it must
+    /// be written.
+    deadlines: HashMap<AttemptId, (f64, f64)>,
     links: HashMap<LinkId, Arc<Link>>,
-    /// Connections that were begun, and when the time of each is up: in order, since all are given the same.
-    begun: VecDeque<(f64, LinkId)>,
-    /// Connections that could not be begun for want of something here, and when each is tried again; in order.
-    again: VecDeque<OpenAgain>,
-    /// When the last answer goes out, in a host that leaves.
-    last: Option<f64>,
-    tally: Tally,
+    /// Links being opened with the time at which each times out; in order, since all have the same time
+    /// limit.
+    connecting: VecDeque<(f64, LinkId)>,
+    /// Links waiting for another try to open them, in order of its time.
+    connect_retries: VecDeque<ConnectRetry>,
+    /// During shutdown, the time at which every open request gets its final answer.
+    final_answers_at: Option<f64>,
+    counters: Counters,
     steps: Vec<Step>,
-    todo: Vec<Do>,
+    pool_actions: Vec<PoolAction>,
 }
 
 impl Engine {
@@ -112,65 +118,72 @@
         driver: Driver,
         pool: Pool,
         clock: Clock,
-        table: Arc<Mutex<ClientTable>>,
-        nodes: Arc<Nodes>,
-        connect_ms: f64,
+        clients: Arc<Mutex<ClientTable>>,
+        node_links: Arc<NodeLinks>,
+        connect_timeout_ms: f64,
     ) -> Engine {
-        let (node_table, work) = (NodeTable::default(), Work::default());
-        let pauses = Pauses::default();
-        Engine { driver, pool, node_table, clock, table, nodes, connect_ms, pauses, work }
+        let (node_table, state) = (NodeTable::default(), State::default());
+        let hooks = TestHooks::default();
+        Engine { driver, pool, node_table, clock, clients, node_links, connect_timeout_ms, hooks, state }
     }
 
-    /// The list as the host last had it.
-    pub(crate) fn known(&mut self, list: &Listing) {
-        self.list(list, ListKind::Cached);
-        self.settle();
+    /// Applies the node list that the host stored before its last restart.
+    pub(crate) fn load_cached_list(&mut self, list: &NodeList) {
+        self.apply_list(list, ListKind::Cached);
+        self.run_all_actions();
     }
 
-    /// Runs until told to stop.
+    /// Runs until [`Message::Stop`] or until all senders are gone.
     pub(crate) fn run(mut self, messages: &Receiver<Message>) {
-        let (mut sweep, mut tell) = (self.clock.now_ms() + SWEEP_MS, self.clock.now_ms() + TELL_MS);
+        let (mut sweep, mut next_log) =
+            (self.clock.now_ms() + SWEEP_INTERVAL_MS, self.clock.now_ms() + LOG_INTERVAL_MS);
         loop {
-            let begun = self.work.begun.front().map(|(at, _)| *at);
-            let last = self.work.last.filter(|_| !self.work.open.is_empty());
-            let rested = self.pool.next_due();
-            let again = self.work.again.front().map(|open| open.at);
-            let due =
-                self.driver.next_timer().into_iter().chain(begun).chain(last).chain(rested).chain(again);
+            let connect_timeout = self.state.connecting.front().map(|(at, _)| *at);
+            let final_answers = self.state.final_answers_at.filter(|_| !self.state.requests.is_empty());
+            let link_ready_at = self.pool.next_due();
+            let connect_retry = self.state.connect_retries.front().map(|retry| retry.at);
+            let due = self
+                .driver
+                .next_timer()
+                .into_iter()
+                .chain(connect_timeout)
+                .chain(final_answers)
+                .chain(link_ready_at)
+                .chain(connect_retry);
             let due = due.fold(sweep, f64::min);
             let first = match messages.recv_deadline(self.clock.instant(due)) {
                 Ok(m) => Some(m),
                 Err(RecvTimeoutError::Timeout) => None,
-                Err(RecvTimeoutError::Disconnected) => return self.nodes.stop(),
+                Err(RecvTimeoutError::Disconnected) => return self.node_links.stop(),
             };
-            for message in first.into_iter().chain(messages.try_iter().take(BATCH)) {
+            for message in first.into_iter().chain(messages.try_iter().take(MAX_BATCH)) {
                 if matches!(message, Message::Stop) {
-                    return self.nodes.stop();
+                    return self.node_links.stop();
                 }
-                self.pauses.at(Point::EngineTakes);
-                self.take(message);
-                self.settle();
+                self.hooks.reach(Point::EngineReceive);
+                self.handle(message);
+                self.run_all_actions();
             }
             let now = self.clock.now_ms();
-            let mut steps = std::mem::take(&mut self.work.steps);
+            let mut steps = std::mem::take(&mut self.state.steps);
             self.driver.run_timers(now, &mut steps);
-            self.work.steps = steps;
-            self.settle();
-            self.too_long(now);
-            self.open_again(now);
-            self.pool.ring(now, &mut self.work.todo);
-            if self.is_last(now) {
+            self.state.steps = steps;
+            self.run_all_actions();
+            self.expire_connects(now);
+            self.retry_connects(now);
+            self.pool.on_timer(now, &mut self.state.pool_actions);
+            if self.is_past_final_answers(now) {
                 self.answer_all();
             }
             if now >= sweep {
-                sweep = now + SWEEP_MS;
-                self.pool.sweep(now, &mut self.work.todo);
+                sweep = now + SWEEP_INTERVAL_MS;
+                self.pool.close_expired(now, &mut self.state.pool_actions);
             }
-            self.settle();
-            if now >= tell {
-                tell = now + TELL_MS;
-                let (clients, links) = (lock(&self.table).held(), self.pool.held());
-                let line = self.work.tally.line();
+            self.run_all_actions();
+            if now >= next_log {
+                next_log = now + LOG_INTERVAL_MS;
+                let (clients, links) = (lock(&self.clients).count(), self.pool.link_count());
+                let line = self.state.counters.take_log_line();
                 tracing::info!(
                     clients,
                     links,
@@ -182,325 +195,358 @@
         }
     }
 
-    /// Gives up connections that do not come up.
-    fn too_long(&mut self, now: f64) {
-        while let Some((_, link)) = self.work.begun.pop_front_if(|(at, _)| now >= *at) {
-            if self.pool.is_coming(link) {
-                tracing::debug!(link, "no connection in time");
-                self.nodes.close(link);
-                self.pool.not_opened(link, &mut self.work.todo);
+    /// Abandons links that were not opened within the time limit.
+    fn expire_connects(&mut self, now: f64) {
+        while let Some((_, link)) = self.state.connecting.pop_front_if(|(at, _)| now >= *at) {
+            if self.pool.is_opening(link) {
+                tracing::debug!(link, "connect timed out");
+                self.node_links.close(link);
+                self.pool.open_failed(link, &mut self.state.pool_actions);
             }
         }
     }
 
-    fn open(&mut self, now: f64, link: LinkId, node: u32, until: f64) {
-        let dial = self.node_table.dial(node);
-        match dial.map_or(Begun::Refused, |dial| self.nodes.open(link, &dial)) {
-            Begun::Coming => self.work.begun.push_back((now + self.connect_ms, link)),
-            Begun::Later if now < until => {
-                self.work.again.push_back(OpenAgain { link, node, at: now + OPEN_AGAIN_MS, until });
+    fn open_link(&mut self, now: f64, link: LinkId, node: u32, until: f64) {
+        let address = self.node_table.address(node);
+        match address.map_or(ConnectStart::Failed, |address| self.node_links.open(link, &address)) {
+            ConnectStart::InProgress => {
+                self.state.connecting.push_back((now + self.connect_timeout_ms, link))
+            }
+            ConnectStart::ResourceShortage if now < until => {
+                self.state.connect_retries.push_back(ConnectRetry {
+                    link,
+                    node,
+                    at: now + CONNECT_RETRY_INTERVAL_MS,
+                    until,
+                });
+            }
+            ConnectStart::ResourceShortage | ConnectStart::Failed => {
+                self.pool.open_failed(link, &mut self.state.pool_actions)
             }
-            Begun::Later | Begun::Refused => self.pool.not_opened(link, &mut self.work.todo),
         }
     }
 
-    /// Tries connections again that this host had no means to begin.
-    fn open_again(&mut self, now: f64) {
-        while let Some(open) = self.work.again.pop_front_if(|open| now >= open.at) {
-            if self.pool.is_coming(open.link) {
-                self.open(now, open.link, open.node, open.until);
+    /// Tries again to open links for which the host lacked resources.
+    fn retry_connects(&mut self, now: f64) {
+        while let Some(retry) = self.state.connect_retries.pop_front_if(|retry| now >= retry.at) {
+            if self.pool.is_opening(retry.link) {
+                self.open_link(now, retry.link, retry.node, retry.until);
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now = self.clock.now_ms();
         match message {
-            Message::Asked { client, slot, asked, at } => self.asked(now, client, slot, asked, at),
-            Message::ClientGone(client) => self.gone(client),
-            Message::Fault => self.work.tally.faults += 1,
-            Message::Up(id, link) => {
-                self.work.links.insert(id, link);
-                self.pool.opened(now, id, &mut self.work.todo);
+            Message::Request { client, slot, request, arrived_at } => {
+                self.handle_request(now, client, slot, request, arrived_at)
             }
-            Message::NotUp(id) => self.pool.not_opened(id, &mut self.work.todo),
-            Message::Answered { link, answer, at } => {
-                if let Some(attempt) = self.pool.answered(now, link) {
-                    self.ended(at, attempt, answer);
+            Message::ClientDisconnected(client) => self.client_disconnected(client),
+            Message::InvalidCommand => self.state.counters.invalid_commands += 1,
+            Message::LinkOpened(id, link) => {
+                self.state.links.insert(id, link);
+                self.pool.link_opened(now, id, &mut self.state.pool_actions);
+            }
+            Message::LinkFailed(id) => self.pool.open_failed(id, &mut self.state.pool_actions),
+            Message::Reply { link, reply, received_at } => {
+                if let Some(attempt) = self.pool.reply_received(now, link) {
+                    self.attempt_ended(received_at, attempt, reply);
                 }
             }
-            Message::Over { link, unsent } => {
-                self.work.links.remove(&link);
-                // Danger: what was written whole may have run, though a later command never went out.
-                let never = self.pool.last_written(link, unsent);
-                for attempt in self.pool.closed(link, &mut self.work.todo) {
-                    let verdict = if never.contains(&attempt) {
+            Message::LinkClosed { link, unsent } => {
+                self.state.links.remove(&link);
+                // A command that was written completely may have run, even if a later one was never sent.
+                let unsent_attempts = self.pool.last_written(link, unsent);
+                for attempt in self.pool.link_closed(link, &mut self.state.pool_actions) {
+                    let result = if unsent_attempts.contains(&attempt) {
                         AttemptResult::ConnectFailed
                     } else {
                         AttemptResult::Reset
                     };
-                    self.lost(now, attempt, verdict);
+                    self.attempt_lost(now, attempt, result);
                 }
             }
-            Message::List(list) => self.list(&list, NodeTable::kind(&list)),
-            Message::Leave(last) => self.work.last = Some(now + last.as_secs_f64() * 1_000.0),
-            Message::Open(to) => drop(to.try_send(self.driver.open_requests())),
+            Message::NodeList(list) => self.apply_list(&list, NodeTable::list_kind(&list)),
+            Message::Shutdown(time_left) => {
+                self.state.final_answers_at = Some(now + time_left.as_secs_f64() * 1_000.0)
+            }
+            Message::CountOpen(to) => drop(to.try_send(self.driver.open_requests())),
             Message::Stop => {}
         }
     }
 
-    fn asked(&mut self, now: f64, client: Arc<Client>, slot: u64, asked: Box<Asked>, at: f64) {
-        // Danger: its client left while it waited for its turn here; begun now, it would be sent for nobody.
-        if client.is_gone() {
-            self.work.tally.gone += 1;
+    fn handle_request(
+        &mut self,
+        now: f64,
+        client: Arc<Client>,
+        slot: u64,
+        request: Box<ClientRequest>,
+        arrived_at: f64,
+    ) {
+        // The client may have disconnected while the request was queued here. An attempt started now would be
+        // sent for nobody.
+        if client.is_disconnected() {
+            self.state.counters.disconnected += 1;
             return;
         }
-        self.work.tally.asked += 1;
-        self.work.tally.slowest_turn = self.work.tally.slowest_turn.max(now - at);
-        // What comes when all has to be answered is turned away, and was never sent.
-        if self.is_last(now) {
+        self.state.counters.requests += 1;
+        self.state.counters.max_queue_wait_ms = self.state.counters.max_queue_wait_ms.max(now - arrived_at);
+        // Requests that arrive after the final answers of a shutdown are refused, and nothing is sent for
+        // them.
+        if self.is_past_final_answers(now) {
             return self.reply(&client, slot, write::bytes(|out| write::error(out, "BUSY")));
         }
-        // Danger: two requests under one id are one to a node that drops repeats, and the answer of one would be
-        // the other's.
-        if !self.work.ids.insert(asked.id.clone()) {
-            self.work.tally.faults += 1;
+        // To a node that drops duplicates, two requests with one id are the same request, and one would get
+        // the response to the other.
+        if !self.state.client_ids.insert(request.id.clone()) {
+            self.state.counters.invalid_commands += 1;
             self.reply(&client, slot, write::bytes(|out| write::error(out, "ERR id is in use")));
             return;
         }
         let id = self.driver.allocate_id();
-        let until = at + asked.wait_ms;
-        self.driver.submit(asked.request(id, self.work.last.map_or(until, |last| until.min(last))));
+        let until = arrived_at + request.wait_ms;
+        self.driver.submit(
+            request.scheduler_request(id, self.state.final_answers_at.map_or(until, |last| until.min(last))),
+        );
         tracing::debug!(
             request = id,
-            id = %asked.id.escape_ascii(),
+            id = %request.id.escape_ascii(),
             client = client.id,
-            wait_ms = asked.wait_ms,
-            waited_ms = now - at,
+            wait_ms = request.wait_ms,
+            waited_ms = now - arrived_at,
             "asked"
         );
-        self.work.by_client.insert((client.id, id));
-        self.work.open.insert(id, Open { client, slot, asked, at, begun: false });
+        self.state.by_client.insert((client.id, id));
+        self.state.requests.insert(id, OpenRequest { client, slot, request, arrived_at, has_begun: false });
     }
 
-    fn gone(&mut self, client: ClientId) {
-        let of_it = (client, 0)..=(client, u32::MAX);
-        let ids: Vec<u32> = self.work.by_client.range(of_it).map(|(_, id)| *id).collect();
+    fn client_disconnected(&mut self, client: ClientId) {
+        let range = (client, 0)..=(client, u32::MAX);
+        let ids: Vec<u32> = self.state.by_client.range(range).map(|(_, id)| *id).collect();
         for id in ids {
             self.driver.abandon(id);
-            self.take_back(id);
-            if let Some(open) = self.work.forget(id) {
-                let age_ms = self.clock.now_ms() - open.at;
-                tracing::debug!(request = id, age_ms, of_ms = open.asked.wait_ms, "client gone");
+            self.retract_unsent(id);
+            if let Some(open) = self.state.remove_request(id) {
+                let age_ms = self.clock.now_ms() - open.arrived_at;
+                tracing::debug!(request = id, age_ms, of_ms = open.request.wait_ms, "client disconnected");
             }
-            self.work.tally.gone += 1;
+            self.state.counters.disconnected += 1;
         }
     }
 
-    /// A request that nobody waits for any more: what has not gone out for it does not go out.
-    fn take_back(&mut self, id: u32) {
+    /// Retracts the attempts of an ended request that have not been sent.
+    fn retract_unsent(&mut self, id: u32) {
         for attempt in self.driver.attempts_of(id) {
             let Some(node) = self.driver.node_of(attempt) else { continue };
-            let place = self.pool.place_of(attempt);
-            let link = place.and_then(|(link, behind)| Some((self.work.links.get(&link)?, behind)));
+            let position = self.pool.position_of(attempt);
+            let link = position.and_then(|(link, behind)| Some((self.state.links.get(&link)?, behind)));
             let unsent = link.is_none_or(|(link, behind)| link.is_unsent(behind));
-            if unsent && self.unwanted(attempt, node) {
-                self.lost(self.clock.now_ms(), attempt, AttemptResult::NotSent);
+            if unsent && self.give_up(attempt, node) {
+                self.attempt_lost(self.clock.now_ms(), attempt, AttemptResult::NotSent);
             }
         }
     }
 
-    /// An attempt is not waited for any more: it is taken back where nothing of it has gone out behind others, and where it
-    /// stands alone its connection is closed. False: it goes on, and its answer is nobody's.
-    fn unwanted(&mut self, attempt: AttemptId, node: u32) -> bool {
-        if let Some((link, behind)) = self.pool.place_of(attempt).filter(|(l, _)| !self.pool.is_alone(*l)) {
-            if self.work.links.get(&link).is_some_and(|l| l.take_back(behind)) {
-                self.pool.unsend(self.clock.now_ms(), link, attempt, &mut self.work.todo);
+    /// Gives up an attempt. It is removed from its link if nothing of it has been sent and it shares the link
+    /// with others; if it is alone, the link is closed. Returns `false` if it stays in flight and its reply
+    /// will be discarded.
+    fn give_up(&mut self, attempt: AttemptId, node: u32) -> bool {
+        if let Some((link, behind)) =
+            self.pool.position_of(attempt).filter(|(l, _)| !self.pool.is_unshared(*l))
+        {
+            if self.state.links.get(&link).is_some_and(|l| l.retract(behind)) {
+                self.pool.retract(self.clock.now_ms(), link, attempt, &mut self.state.pool_actions);
                 return true;
             }
-            self.pool.withdrawn(node, attempt, &mut self.work.todo);
+            self.pool.abandon(node, attempt, &mut self.state.pool_actions);
             return false;
         }
-        self.pool.withdrawn(node, attempt, &mut self.work.todo);
+        self.pool.abandon(node, attempt, &mut self.state.pool_actions);
         true
     }
 
-    /// Whether a host that leaves has come to its last answers.
-    fn is_last(&self, now: f64) -> bool {
-        self.work.last.is_some_and(|last| now >= last)
+    /// Whether a shutdown has reached the time of the final answers.
+    fn is_past_final_answers(&self, now: f64) -> bool {
+        self.state.final_answers_at.is_some_and(|last| now >= last)
     }
 
-    /// The final answer to all that is open, in a host that leaves.
+    /// Sends a final answer to every open request during shutdown.
     ///
-    /// Danger: a client may wait for longer than the platform lets a host live on.
+    /// A client may be willing to wait for longer than the platform lets the host run.
     fn answer_all(&mut self) {
-        for (id, begun) in self.work.open.iter().map(|(id, o)| (*id, o.begun)).collect::<Vec<_>>() {
+        for (id, has_begun) in
+            self.state.requests.iter().map(|(id, o)| (*id, o.has_begun)).collect::<Vec<_>>()
+        {
             self.driver.abandon(id);
-            self.take_back(id);
-            let words = if begun { "ERR failed leaving" } else { "BUSY" };
-            self.finish(id, write::bytes(|out| write::error(out, words)));
+            self.retract_unsent(id);
+            let text = if has_begun { "ERR failed leaving" } else { "BUSY" };
+            self.finish(id, write::bytes(|out| write::error(out, text)));
         }
     }
 
-    /// An attempt ended without a node's word.
-    fn lost(&mut self, at: f64, attempt: AttemptId, verdict: AttemptResult) {
-        self.ended(at, attempt, Answer { verdict, value: None, told: NodeReport::default() });
+    /// Ends an attempt that got no response.
+    fn attempt_lost(&mut self, at: f64, attempt: AttemptId, result: AttemptResult) {
+        self.attempt_ended(at, attempt, NodeReply { result, value: None, report: NodeReport::default() });
     }
 
-    /// An attempt ended by a node's word, or with its connection.
-    fn ended(&mut self, at: f64, attempt: AttemptId, answer: Answer) {
-        self.work.until.remove(&attempt);
+    /// Ends an attempt with the node's response or with the loss of its link.
+    fn attempt_ended(&mut self, at: f64, attempt: AttemptId, reply: NodeReply) {
+        self.state.deadlines.remove(&attempt);
         if !self.driver.is_in_flight(attempt) {
             return;
         }
-        self.work.tally.ended(answer.verdict);
+        self.state.counters.attempt_ended(reply.result);
         tracing::debug!(
             request = attempt.request,
             number = attempt.number,
-            verdict = ?answer.verdict,
-            "attempt over"
+            verdict = ?reply.result,
+            "attempt ended"
         );
-        let value = answer.value.unwrap_or_default();
-        if self.driver.attempt_ended(at, attempt, answer.verdict, answer.told) {
-            self.work.tally.served += 1;
-            // Danger: another attempt of it that waits for a connection, or in a write buffer, would still go out.
-            self.take_back(attempt.request);
+        let value = reply.value.unwrap_or_default();
+        if self.driver.attempt_ended(at, attempt, reply.result, reply.report) {
+            self.state.counters.served += 1;
+            // Another attempt of the request may still wait for a link or in a write buffer, and would be
+            // sent.
+            self.retract_unsent(attempt.request);
             self.finish(attempt.request, write::bytes(|out| write::bulk(out, &value)));
         }
     }
 
-    /// The one final answer to a request.
+    /// Sends the final answer to a request.
     fn finish(&mut self, id: u32, bytes: Bytes) {
-        if let Some(open) = self.work.forget(id) {
+        if let Some(open) = self.state.remove_request(id) {
             self.reply(&open.client, open.slot, bytes);
         }
     }
 
     fn reply(&mut self, client: &Client, slot: u64, bytes: Bytes) {
-        client.answer(slot, bytes);
-        lock(&self.table).answered(self.clock.now_ms(), client.id);
+        client.reply(slot, bytes);
+        lock(&self.clients).command_answered(self.clock.now_ms(), client.id);
     }
 
-    fn list(&mut self, list: &Listing, kind: ListKind) {
-        let (entries, changed) = self.node_table.take(list);
-        for node in changed.left.iter().chain(&changed.draining).copied() {
-            self.pool.recall(node, &mut self.work.todo);
-            // Danger: a command that no byte of has gone out would go out to what the node is now.
-            for attempt in self.pool.written_to(node) {
-                let place = self.pool.place_of(attempt);
-                let links = &self.work.links;
-                let back = place.filter(|(l, behind)| links.get(l).is_some_and(|l| l.take_back(*behind)));
-                if let Some((link, _)) = back {
+    fn apply_list(&mut self, list: &NodeList, kind: ListKind) {
+        let (entries, changes) = self.node_table.apply(list);
+        for node in changes.stale.iter().chain(&changes.draining).copied() {
+            self.pool.cancel_waiting(node, &mut self.state.pool_actions);
+            // A command of which nothing has been sent would reach the node in its new state.
+            for attempt in self.pool.attempts_on(node) {
+                let position = self.pool.position_of(attempt);
+                let links = &self.state.links;
+                let retracted =
+                    position.filter(|(l, behind)| links.get(l).is_some_and(|l| l.retract(*behind)));
+                if let Some((link, _)) = retracted {
                     let now = self.clock.now_ms();
-                    self.pool.unsend(now, link, attempt, &mut self.work.todo);
-                    self.lost(now, attempt, AttemptResult::ConnectFailed);
+                    self.pool.retract(now, link, attempt, &mut self.state.pool_actions);
+                    self.attempt_lost(now, attempt, AttemptResult::ConnectFailed);
                 }
             }
         }
-        for node in changed.left {
-            self.pool.close_idle(node, &mut self.work.todo);
+        for node in changes.stale {
+            self.pool.close_idle(node, &mut self.state.pool_actions);
         }
         self.driver.update_node_list(kind, entries);
     }
 
-    /// Carries out all that is to be done, until nothing is.
-    fn settle(&mut self) {
+    /// Carries out the actions of the pool and the scheduler until none are left.
+    fn run_all_actions(&mut self) {
         loop {
-            self.work_off();
-            let mut steps = std::mem::take(&mut self.work.steps);
+            self.run_pool_actions();
+            let mut steps = std::mem::take(&mut self.state.steps);
             self.driver.process_events(self.clock.now_ms(), &mut steps);
             if steps.is_empty() {
-                self.work.steps = steps;
+                self.state.steps = steps;
                 return;
             }
             for step in steps.drain(..) {
-                self.step(step);
-                self.work_off();
+                self.run_action(step);
+                self.run_pool_actions();
             }
-            self.work.steps = steps;
+            self.state.steps = steps;
         }
     }
 
-    /// Carries out what the pool said, in its order.
+    /// Carries out the actions of the pool in order.
     ///
-    /// Danger: what is said is true of the pool as it is. Left over while the pool is told more, a command would be written
-    /// for an attempt that was withdrawn meanwhile, or behind one that is not there.
-    fn work_off(&mut self) {
-        while !self.work.todo.is_empty() {
-            for one in std::mem::take(&mut self.work.todo) {
-                self.carry_out(one);
+    /// Pool actions are only valid in the state in which the pool issued them. If they were delayed past
+    /// further calls to the pool, a command might be written for an attempt that was abandoned, or behind a
+    /// command that no longer exists.
+    fn run_pool_actions(&mut self) {
+        while !self.state.pool_actions.is_empty() {
+            for action in std::mem::take(&mut self.state.pool_actions) {
+                self.run_pool_action(action);
             }
         }
     }
 
-    fn step(&mut self, step: Step) {
+    fn run_action(&mut self, step: Step) {
         let now = self.clock.now_ms();
         match step {
             Step::Send { attempt, node, deadline_ms, write_deadline_ms } => {
-                self.work.tally.sent += 1;
+                self.state.counters.attempts_sent += 1;
                 tracing::debug!(request = attempt.request, number = attempt.number, node, "attempt");
-                self.work.until.insert(attempt, (deadline_ms, write_deadline_ms));
-                self.pool.send(now, node, attempt, &mut self.work.todo);
+                self.state.deadlines.insert(attempt, (deadline_ms, write_deadline_ms));
+                self.pool.send(now, node, attempt, &mut self.state.pool_actions);
             }
-            Step::AttemptDropped { attempt, node, result: verdict } => {
-                self.work.tally.ended(verdict);
-                self.work.until.remove(&attempt);
+            Step::AttemptDropped { attempt, node, result } => {
+                self.state.counters.attempt_ended(result);
+                self.state.deadlines.remove(&attempt);
                 tracing::debug!(
                     request = attempt.request,
                     number = attempt.number,
                     node,
-                    ?verdict,
-                    "given up"
+                    verdict = ?result,
+                    "attempt withdrawn"
                 );
-                self.unwanted(attempt, node);
+                self.give_up(attempt, node);
             }
             Step::Refused { id, retry_after_ms, reason } => {
-                *self.work.tally.refused.entry(reason).or_insert(0) += 1;
+                *self.state.counters.refused.entry(reason).or_insert(0) += 1;
                 tracing::debug!(request = id, %reason, retry_after_ms, "refused");
                 let wait = retry_after_ms.ceil() as u64;
-                let words = if wait > 0 { format!("BUSY {wait}") } else { "BUSY".to_owned() };
-                self.finish(id, write::bytes(|out| write::error(out, &words)));
+                let text = if wait > 0 { format!("BUSY {wait}") } else { "BUSY".to_owned() };
+                self.finish(id, write::bytes(|out| write::error(out, &text)));
             }
             Step::Failed { id, reason } => {
-                *self.work.tally.failed.entry(reason).or_insert(0) += 1;
+                *self.state.counters.failed.entry(reason).or_insert(0) += 1;
                 tracing::debug!(request = id, %reason, "failed");
                 self.finish(id, write::bytes(|out| write::error(out, &format!("ERR failed {reason}"))));
             }
-            Step::CloseIdleConnections(node) => self.pool.close_idle(node, &mut self.work.todo),
-            // The list is followed without being asked.
+            Step::CloseIdleConnections(node) => self.pool.close_idle(node, &mut self.state.pool_actions),
+            // The node list is always watched, so these requests need no action.
             Step::Watch(_) | Step::FetchNodeList => {}
             Step::Log(text) => tracing::info!(target: "pearfork::module", "{text}"),
         }
     }
 
-    fn carry_out(&mut self, one: Do) {
+    fn run_pool_action(&mut self, action: PoolAction) {
         let now = self.clock.now_ms();
-        match one {
-            Do::Open(link, node) => {
-                self.work.tally.opened += 1;
-                self.open(now, link, node, now + OPEN_WITHIN_MS);
+        match action {
+            PoolAction::Open(link, node) => {
+                self.state.counters.links_opened += 1;
+                self.open_link(now, link, node, now + CONNECT_RETRY_LIMIT_MS);
             }
-            Do::Write(link, attempt) => self.write(now, link, attempt),
-            Do::Close(link) => {
-                self.work.links.remove(&link);
-                self.nodes.close(link);
+            PoolAction::Write(link, attempt) => self.write(now, link, attempt),
+            PoolAction::Close(link) => {
+                self.state.links.remove(&link);
+                self.node_links.close(link);
             }
-            Do::NeverSent(attempt) => self.lost(now, attempt, AttemptResult::ConnectFailed),
+            PoolAction::NeverSent(attempt) => self.attempt_lost(now, attempt, AttemptResult::ConnectFailed),
         }
     }
 
-    /// The moment at which an attempt goes out, however long it waited for its connection: whatever stands against it by
-    /// now stands against it here. Nodes that changed were looked at when the list came.
+    /// Writes an attempt on a link. The attempt may have waited long for its link, so all conditions for
+    /// sending it are checked again here. Changes of its node were handled when the node list arrived.
     fn write(&mut self, now: f64, link: LinkId, attempt: AttemptId) {
-        let open = self.work.open.get_mut(&attempt.request).filter(|o| !o.client.is_gone());
-        let times = self.work.until.get(&attempt).filter(|(_, by)| now < *by);
-        let here = open.is_some();
-        let (Some(open), Some((until, _)), Some(node)) = (open, times, self.driver.node_of(attempt)) else {
-            let verdict = if here { AttemptResult::ConnectFailed } else { AttemptResult::NotSent };
-            self.pool.unsend(now, link, attempt, &mut self.work.todo);
-            return self.lost(now, attempt, verdict);
+        let open = self.state.requests.get_mut(&attempt.request).filter(|o| !o.client.is_disconnected());
+        let deadline = self.state.deadlines.get(&attempt).filter(|(_, by)| now < *by);
+        let client_waits = open.is_some();
+        let (Some(open), Some((until, _)), Some(node)) = (open, deadline, self.driver.node_of(attempt))
+        else {
+            let result = if client_waits { AttemptResult::ConnectFailed } else { AttemptResult::NotSent };
+            self.pool.retract(now, link, attempt, &mut self.state.pool_actions);
+            return self.attempt_lost(now, attempt, result);
         };
-        let command = open.asked.command(until - now);
+        let command = open.request.command(until - now);
         tracing::debug!(
             request = attempt.request,
             number = attempt.number,
@@ -509,20 +555,20 @@
             told_ms = until - now,
             "written"
         );
-        open.begun = true;
-        let wrote = self.work.links.get(&link).is_some_and(|link| link.send(command).is_ok());
-        if !wrote {
-            self.pool.unfit(now, link, node, attempt, &mut self.work.todo);
+        open.has_begun = true;
+        let is_written = self.state.links.get(&link).is_some_and(|link| link.send(command).is_ok());
+        if !is_written {
+            self.pool.write_rejected(now, link, node, attempt, &mut self.state.pool_actions);
         }
     }
 }
 
-impl Work {
-    /// Takes a request off the work.
-    fn forget(&mut self, id: u32) -> Option<Open> {
-        let open = self.open.remove(&id)?;
+impl State {
+    /// Removes a request from the open ones.
+    fn remove_request(&mut self, id: u32) -> Option<OpenRequest> {
+        let open = self.requests.remove(&id)?;
         self.by_client.remove(&(open.client.id, id));
-        self.ids.remove(&open.asked.id);
+        self.client_ids.remove(&open.request.id);
         Some(open)
     }
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,9 +1,15 @@
-//! A host in the platform's service: the platform's protocol on `std::net` sockets around the decisions.
+//! A host of the platform's service: its protocol on `std::net` sockets, with the scheduler between clients
+//! and nodes.
 //!
-//! `client_reader` takes client connections and reads them all in one thread, `client` is one of them, `links` are the connections
-//! to nodes, read by another, `watch` follows discovery, `engine` is the one thread that owns the driver of the module,
-//! and [`Service`] puts them together. The number of threads is the same whatever the number of connections. What a request gets is
-//! the module's word; which connections stay and carry what is decided in `pearfork_platform`.
+//! - `client_reader`: the thread that accepts and reads all client connections.
+//! - `client`: one client connection.
+//! - `links`: the connections to nodes and the thread that reads them.
+//! - `watch`: the thread that follows discovery.
+//! - `engine`: the thread that owns the driver of the scheduler.
+//! - [`Service`]: starts and stops all of these.
+//!
+//! The number of threads does not depend on the number of connections. The scheduler decides about requests;
+//! `pearfork_platform` decides which connections are kept and which of them carry attempts.
 
 mod client;
 mod client_reader;
@@ -16,4 +22,4 @@
 
 pub use service::{Service, ServiceError};
 #[cfg(feature = "pauses")]
-pub use test_hooks::{Hold, Point, Prepare};
+pub use test_hooks::{ConnectHook, Point, PointHook};
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -1,13 +1,13 @@
-//! Connections to nodes: one thread sees them come up and reads them all.
+//! Connections (links) to nodes, and the thread that opens and reads them.
 
 use crate::engine::Message;
-use crate::test_hooks::Pauses;
+use crate::test_hooks::TestHooks;
 use bytes::Bytes;
 use crossbeam_channel::Sender;
 use pearfork::AttemptResult;
 use pearfork_drive::NodeReport;
 use pearfork_net::{begin_connect, is_shortage, lock, Clock, Flusher, Poller, Waiting, Want, WriteBuffer};
-use pearfork_platform::node_reply::{self, Answer};
+use pearfork_platform::node_reply::{self, NodeReply};
 use pearfork_platform::pool::LinkId;
 use pearfork_resp::ReplyDecoder;
 use std::collections::HashMap;
@@ -15,10 +15,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Bytes read from one connection before the next has its turn.
-const PIECE: usize = 16 * 1024;
+/// Maximum number of bytes read from one connection before the next one is read.
+const READ_CHUNK: usize = 16 * 1024;
 
-/// A connection.
+/// A link to a node.
 pub(crate) struct Link {
     write_buffer: Arc<WriteBuffer>,
     state: Mutex<State>,
@@ -26,238 +26,250 @@
 }
 
 struct State {
-    replies: ReplyDecoder,
-    /// It has not come up yet.
-    coming: bool,
-    /// Commands without an answer.
-    out: usize,
-    /// It is of no further use.
-    over: bool,
-    /// For the log: answers that came, when it was last free, and how long it had been when it was last written on.
-    answers: u32,
-    free_since: f64,
-    rested_ms: f64,
+    decoder: ReplyDecoder,
+    /// The connection is not established yet.
+    connecting: bool,
+    /// Number of unanswered commands.
+    in_flight: usize,
+    /// The link must not be used again.
+    closed: bool,
+    /// For the log: number of replies received, time at which the link was last idle, and how long it had
+    /// been idle when it was last written on.
+    reply_count: u32,
+    idle_since: f64,
+    idle_ms: f64,
 }
 
-/// A connection is of no use, and nothing was written on it.
-pub(crate) struct Unfit;
+/// The link cannot be used, and nothing was written on it.
+pub(crate) struct LinkUnusable;
 
 impl Link {
     /// Writes a command.
     ///
-    /// Danger: a node may send more than its answer. Whatever waits to be read where no answer is due belongs to no
-    /// command that comes after, and would be taken for the answer to the next. Bytes are taken off the socket under
-    /// this lock alone, so that none can be on the way between the socket and this look.
-    pub(crate) fn send(&self, command: Bytes) -> Result<(), Unfit> {
+    /// A node may send more than its reply. Data that waits to be read while no reply is due belongs to no
+    /// later command, but would be taken for the reply to the next one. Data is read from the socket only
+    /// under this lock, so none can be in transit between the socket and this check.
+    pub(crate) fn send(&self, command: Bytes) -> Result<(), LinkUnusable> {
         let mut state = lock(&self.state);
-        if state.over || (state.out == 0 && self.write_buffer.waiting() != Waiting::Nothing) {
-            state.over = true;
-            return Err(Unfit);
+        if state.closed || (state.in_flight == 0 && self.write_buffer.waiting() != Waiting::Nothing) {
+            state.closed = true;
+            return Err(LinkUnusable);
         }
-        if state.out == 0 {
-            state.rested_ms = self.clock.now_ms() - state.free_since;
+        if state.in_flight == 0 {
+            state.idle_ms = self.clock.now_ms() - state.idle_since;
         }
-        state.out += 1;
-        // A write that fails is a lost connection, which its reader tells.
+        state.in_flight += 1;
+        // A failed write closes the connection, which its reader notices.
         let _ = self.write_buffer.put(command);
         Ok(())
     }
 
-    /// Takes a command back of which nothing has gone out, where so many were written behind it.
-    pub(crate) fn take_back(&self, behind: usize) -> bool {
+    /// Removes a command of which nothing has been sent from the write buffer; `behind` commands were written
+    /// after it.
+    pub(crate) fn retract(&self, behind: usize) -> bool {
         let mut state = lock(&self.state);
-        let back = self.write_buffer.take_back(behind);
-        state.out -= usize::from(back);
-        back
+        let retracted = self.write_buffer.take_back(behind);
+        state.in_flight -= usize::from(retracted);
+        retracted
     }
 
-    /// Whether the last byte of a command has not gone out, where so many were written behind it.
+    /// Whether a command has not been sent completely; `behind` commands were written after it.
     pub(crate) fn is_unsent(&self, behind: usize) -> bool {
         self.write_buffer.unsent() > behind
     }
 
-    /// Reads what came: the answers in it, and whether the connection is of further use.
-    fn read(&self, piece: &mut [u8], told: &mut Vec<Answer>) -> bool {
+    /// Reads data and decodes the replies in it. Returns whether the link may be used further.
+    fn read(&self, chunk: &mut [u8], replies: &mut Vec<NodeReply>) -> bool {
         let mut state = lock(&self.state);
-        match self.write_buffer.read_now(piece) {
+        match self.write_buffer.read_now(chunk) {
             Ok(None) => return true,
             Ok(Some(0)) | Err(_) => {
-                state.over = true;
+                state.closed = true;
                 return false;
             }
-            Ok(Some(n)) => state.replies.buffer().extend_from_slice(&piece[..n]),
+            Ok(Some(n)) => state.decoder.buffer().extend_from_slice(&chunk[..n]),
         }
-        let good = state.take(told);
-        state.free_since = self.clock.now_ms();
-        state.over |= !good;
-        good
+        let usable = state.decode(replies);
+        state.idle_since = self.clock.now_ms();
+        state.closed |= !usable;
+        usable
     }
 }
 
 impl State {
-    /// Takes the answers that came; false where the connection is of no further use.
-    fn take(&mut self, told: &mut Vec<Answer>) -> bool {
-        while self.out > 0 {
-            match self.replies.next_reply() {
+    /// Decodes the replies received. Returns `false` if the link must not be used further.
+    fn decode(&mut self, replies: &mut Vec<NodeReply>) -> bool {
+        while self.in_flight > 0 {
+            match self.decoder.next_reply() {
                 Ok(Some(reply)) => {
-                    (self.out, self.answers) = (self.out - 1, self.answers + 1);
-                    let answer = node_reply::parse(reply);
-                    tracing::trace!(rested_ms = self.rested_ms as u64, answers = self.answers, verdict = ?answer.verdict, "answered");
-                    told.push(answer);
+                    (self.in_flight, self.reply_count) = (self.in_flight - 1, self.reply_count + 1);
+                    let reply = node_reply::parse(reply);
+                    tracing::trace!(
+                        rested_ms = self.idle_ms as u64,
+                        answers = self.reply_count,
+                        verdict = ?reply.result,
+                        "answered"
+                    );
+                    replies.push(reply);
                 }
                 Ok(None) => return true,
-                Err(fault) => {
-                    self.out -= 1;
-                    tracing::debug!(%fault, "spoilt answer");
-                    told.push(Answer {
-                        verdict: AttemptResult::Error,
+                Err(error) => {
+                    self.in_flight -= 1;
+                    tracing::debug!(fault = %error, "malformed reply");
+                    replies.push(NodeReply {
+                        result: AttemptResult::Error,
                         value: None,
-                        told: NodeReport::default(),
+                        report: NodeReport::default(),
                     });
                     return false;
                 }
             }
         }
-        // More than was asked for.
-        !self.replies.has_partial()
+        // Data that no command asked for.
+        !self.decoder.has_partial()
     }
 }
 
-/// What became of the beginning of a connection.
+/// Result of starting to connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Begun {
-    /// It comes up, or the engine is told that it does not.
-    Coming,
-    /// This host is short of ports, descriptors or memory in this moment: its node has nothing to do with it.
-    Later,
-    /// It can't be had.
-    Refused,
+pub(crate) enum ConnectStart {
+    /// Connecting; the engine is notified of the outcome.
+    InProgress,
+    /// The host lacks ports, descriptors or memory at the moment; the node is not at fault.
+    ResourceShortage,
+    /// The connection was refused.
+    Failed,
 }
 
-/// The connections of a host to its nodes.
-pub(crate) struct Nodes {
+/// The links of a host to its nodes.
+pub(crate) struct NodeLinks {
     engine: Sender<Message>,
     clock: Clock,
     flusher: Flusher,
     poller: Poller,
     links: Mutex<HashMap<LinkId, Arc<Link>>>,
-    stopped: AtomicBool,
-    pub(crate) pauses: Pauses,
+    is_stopped: AtomicBool,
+    pub(crate) hooks: TestHooks,
 }
 
-impl Nodes {
-    pub(crate) fn new(engine: Sender<Message>, clock: Clock, flusher: Flusher, poller: Poller) -> Nodes {
-        let (links, stopped, pauses) = (Mutex::default(), AtomicBool::new(false), Pauses::default());
-        Nodes { engine, clock, flusher, poller, links, stopped, pauses }
+impl NodeLinks {
+    pub(crate) fn new(engine: Sender<Message>, clock: Clock, flusher: Flusher, poller: Poller) -> NodeLinks {
+        let (links, is_stopped, hooks) = (Mutex::default(), AtomicBool::new(false), TestHooks::default());
+        NodeLinks { engine, clock, flusher, poller, links, is_stopped, hooks }
     }
 
-    /// Begins to connect; the engine is told what became of it.
-    pub(crate) fn open(&self, id: LinkId, address: &SocketAddr) -> Begun {
+    /// Starts to connect. The engine is notified of the outcome.
+    pub(crate) fn open(&self, id: LinkId, address: &SocketAddr) -> ConnectStart {
         let stream = match begin_connect(address) {
             Ok(stream) => stream,
             Err(error) => {
-                tracing::debug!(link = id, %address, %error, "no connection");
-                return if is_shortage(&error) { Begun::Later } else { Begun::Refused };
+                tracing::debug!(link = id, %address, %error, "connect failed");
+                return if is_shortage(&error) {
+                    ConnectStart::ResourceShortage
+                } else {
+                    ConnectStart::Failed
+                };
             }
         };
         let _ = stream.set_nodelay(true);
-        self.pauses.connects(&stream);
+        self.hooks.connecting(&stream);
         let state = State {
-            replies: ReplyDecoder::new(node_reply::LIMITS),
-            coming: true,
-            out: 0,
-            over: false,
-            answers: 0,
-            free_since: 0.0,
-            rested_ms: 0.0,
+            decoder: ReplyDecoder::new(node_reply::LIMITS),
+            connecting: true,
+            in_flight: 0,
+            closed: false,
+            reply_count: 0,
+            idle_since: 0.0,
+            idle_ms: 0.0,
         };
         let write_buffer = WriteBuffer::new(stream, &self.flusher);
         let link = Arc::new(Link { write_buffer, state: Mutex::new(state), clock: self.clock });
         let mut links = lock(&self.links);
         if let Err(error) = self.poller.add(link.write_buffer.stream(), id, Want::Write) {
-            tracing::debug!(link = id, %address, %error, "a connection can't be watched");
-            return Begun::Later;
+            tracing::debug!(link = id, %address, %error, "link cannot be polled");
+            return ConnectStart::ResourceShortage;
         }
         links.insert(id, link);
-        Begun::Coming
+        ConnectStart::InProgress
     }
 
-    /// Closes a connection, which the engine is not told.
+    /// Closes a link without notifying the engine.
     pub(crate) fn close(&self, id: LinkId) {
         let link = lock(&self.links).remove(&id);
         if let Some(link) = link {
             self.poller.remove(link.write_buffer.stream());
-            lock(&link.state).over = true;
+            lock(&link.state).closed = true;
             link.write_buffer.shut();
         }
     }
 
-    /// Ends the thread that reads.
+    /// Stops the thread that reads.
     pub(crate) fn stop(&self) {
-        self.stopped.store(true, Ordering::SeqCst);
+        self.is_stopped.store(true, Ordering::SeqCst);
         self.poller.wake();
     }
 
-    /// Reads all connections until told to stop.
+    /// Reads all links until stopped.
     pub(crate) fn run(&self) {
-        let (mut ready, mut told) = (Vec::new(), Vec::new());
-        let mut piece = vec![0u8; PIECE];
-        while !self.stopped.load(Ordering::SeqCst) {
+        let (mut ready, mut replies) = (Vec::new(), Vec::new());
+        let mut chunk = vec![0u8; READ_CHUNK];
+        while !self.is_stopped.load(Ordering::SeqCst) {
             if let Err(why) = self.poller.wait(&mut ready, None) {
-                tracing::error!(%why, "connections to nodes can't be waited for");
+                tracing::error!(%why, "polling node links failed");
                 return;
             }
-            for one in &ready {
-                let Some(link) = lock(&self.links).get(&one.token).cloned() else { continue };
-                let coming = lock(&link.state).coming;
-                if coming {
-                    self.came(one.token, &link);
+            for event in &ready {
+                let Some(link) = lock(&self.links).get(&event.token).cloned() else { continue };
+                let is_connecting = lock(&link.state).connecting;
+                if is_connecting {
+                    self.connect_finished(event.token, &link);
                     continue;
                 }
-                let good = link.read(&mut piece, &mut told);
-                for answer in told.drain(..) {
-                    let message = Message::Answered { link: one.token, answer, at: self.clock.now_ms() };
+                let usable = link.read(&mut chunk, &mut replies);
+                for reply in replies.drain(..) {
+                    let message =
+                        Message::Reply { link: event.token, reply, received_at: self.clock.now_ms() };
                     let _ = self.engine.send(message);
                 }
-                if !good {
-                    self.over(one.token, &link);
+                if !usable {
+                    self.link_ended(event.token, &link);
                 }
             }
         }
     }
 
-    /// A connection came up, or failed.
-    fn came(&self, id: LinkId, link: &Arc<Link>) {
+    /// A connection was established or failed.
+    fn connect_finished(&self, id: LinkId, link: &Arc<Link>) {
         let stream = link.write_buffer.stream();
         let failed = match stream.take_error() {
             Ok(None) => self.poller.change(stream, id, Want::Read).err(),
             Ok(Some(e)) | Err(e) => Some(e),
         };
         if let Some(error) = failed {
-            tracing::debug!(%error, link = id, "no connection");
+            tracing::debug!(%error, link = id, "connect failed");
             self.close(id);
-            let _ = self.engine.send(Message::NotUp(id));
+            let _ = self.engine.send(Message::LinkFailed(id));
             return;
         }
         {
             let mut state = lock(&link.state);
-            (state.coming, state.free_since) = (false, self.clock.now_ms());
+            (state.connecting, state.idle_since) = (false, self.clock.now_ms());
         }
-        let _ = self.engine.send(Message::Up(id, link.clone()));
+        let _ = self.engine.send(Message::LinkOpened(id, link.clone()));
     }
 
-    /// A connection is over by the node's doing.
-    fn over(&self, id: LinkId, link: &Link) {
-        // Nothing goes out behind this count.
+    /// Closes a link that its node closed or that failed.
+    fn link_ended(&self, id: LinkId, link: &Link) {
+        // Nothing is sent after this count.
         let unsent = link.write_buffer.abort();
         {
             let state = lock(&link.state);
-            if state.out > 0 {
-                let (answers, rested_ms) = (state.answers, state.rested_ms as u64);
-                tracing::debug!(link = id, out = state.out, answers, rested_ms, unsent, "connection over");
+            if state.in_flight > 0 {
+                let (answers, rested_ms) = (state.reply_count, state.idle_ms as u64);
+                tracing::debug!(link = id, out = state.in_flight, answers, rested_ms, unsent, "link closed");
             }
         }
         self.close(id);
-        let _ = self.engine.send(Message::Over { link: id, unsent });
+        let _ = self.engine.send(Message::LinkClosed { link: id, unsent });
     }
 }
--- a/crates/serving/src/service.rs
+++ b/crates/serving/src/service.rs
@@ -1,11 +1,11 @@
-//! A host put together.
+//! Starts and stops the threads of a host.
 
 use crate::client::Mailbox;
-use crate::client_reader::{Front, Leaving};
+use crate::client_reader::{ClientReader, ShutdownFlags};
 use crate::engine::{Engine, Message};
-use crate::links::Nodes;
-use crate::test_hooks::Pauses;
-use crate::watch::{Following, Pace, Watcher};
+use crate::links::NodeLinks;
+use crate::test_hooks::TestHooks;
+use crate::watch::{CallTiming, DiscoveryTarget, DiscoveryWatcher};
 use crossbeam_channel::{bounded, Sender};
 use pearfork_drive::Driver;
 use pearfork_net::{get_to_start, lock, spawn_small, Clock, Flusher, Poller};
@@ -18,53 +18,60 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A host that could not start.
+/// Error at the start of a host.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// The address could not be listened at.
+    /// The listening address cannot be used.
     #[error("cannot listen at {address}: {source}")]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// No thread could be had.
+    /// A thread or a poller cannot be created.
     #[error("cannot start a thread: {0}")]
     Thread(#[from] io::Error),
-    /// The module refuses a setting.
+    /// The scheduler rejects a setting.
     #[error(transparent)]
-    Module(#[from] pearfork::SettingsError),
+    Scheduler(#[from] pearfork::SettingsError),
 }
 
-/// Messages that wait for the engine at the most.
+/// Maximum number of messages in the engine's queue.
 const ENGINE_QUEUE: usize = 4096;
-/// The platform ends a host no sooner than this after the longest deadline, which counts as [`LONGEST`] at the most.
-const ENDED: Duration = Duration::from_millis(700);
-const LONGEST: Duration = Duration::from_secs(3);
-/// Before it is ended all is answered, and before that, connections that rest are closed.
-const ANSWERED: Duration = Duration::from_millis(200);
-const CLOSING: Duration = Duration::from_millis(400);
-/// Before it is ended the host is gone by itself.
-const GONE: Duration = Duration::from_millis(30);
-
-/// The moments of a host that leaves, counted from the word to leave.
+/// The platform kills a host no earlier than this after the shutdown request plus the longest deadline.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// A longer deadline counts as this one.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// How long before the earliest kill every open request gets its final answer.
+const FINAL_ANSWERS_LEAD: Duration = Duration::from_millis(200);
+/// How long before the earliest kill idle connections are closed.
+const CLOSE_IDLE_LEAD: Duration = Duration::from_millis(400);
+/// How long before the earliest kill the host exits by itself.
+const EXIT_LEAD: Duration = Duration::from_millis(30);
+
+/// Times of a shutdown, counted from its request.
 #[derive(Clone, Copy, Debug)]
-struct Departure {
-    /// Connections that rest are closed.
-    closing: Duration,
-    /// The last answer, and then the end of all connections.
-    last: Duration,
-    /// The process ends, whatever is left.
-    gone: Duration,
+struct ShutdownTimes {
+    /// Idle connections are closed.
+    close_idle: Duration,
+    /// Every open request gets its final answer, then all connections are closed.
+    final_answers: Duration,
+    /// The process exits, whatever is left.
+    exit: Duration,
 }
 
-impl Departure {
-    /// Danger: clients go on using the connections that they have, and a host that closes these early refuses them
-    /// its service for seconds; with a tenth of the fleet on its way out at any time, it is the fleet's.
-    fn of(longest: Duration) -> Departure {
-        let end = longest.min(LONGEST) + ENDED;
-        Departure { closing: end - CLOSING, last: end - ANSWERED, gone: end - GONE }
+impl ShutdownTimes {
+    /// Clients keep using the connections they have, so a host that closes them early does not serve them for
+    /// seconds. With a tenth of the fleet restarting at any time, that would cost the fleet a tenth of its
+    /// service.
+    fn for_deadline(longest_deadline: Duration) -> ShutdownTimes {
+        let end = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
+        ShutdownTimes {
+            close_idle: end - CLOSE_IDLE_LEAD,
+            final_answers: end - FINAL_ANSWERS_LEAD,
+            exit: end - EXIT_LEAD,
+        }
     }
 }
 
@@ -74,127 +81,134 @@
     engine: Sender<Message>,
     mailbox: Arc<Mailbox>,
     table: Arc<Mutex<ClientTable>>,
-    discovery: Arc<Following>,
-    leaving: Arc<Leaving>,
-    longest: Duration,
+    discovery: Arc<DiscoveryTarget>,
+    shutdown: Arc<ShutdownFlags>,
+    longest_deadline: Duration,
 }
 
 impl Service {
     /// Starts a host.
     ///
     /// # Errors
-    /// What the machine refuses: the address, threads. What the module refuses.
+    /// The address cannot be used, a thread cannot be started, or the scheduler rejects a setting.
     pub fn start(config: Config) -> Result<Service, ServiceError> {
-        Service::start_with(config, Pauses::default())
+        Service::start_with_hooks(config, TestHooks::default())
     }
 
-    /// The same, held at named points.
+    /// Like [`Service::start`], with a hook at each [`Point`].
     ///
     /// # Errors
-    /// As [`Service::start`].
+    /// Same as [`Service::start`].
     #[cfg(feature = "pauses")]
-    pub fn start_held(config: Config, hold: crate::test_hooks::Hold) -> Result<Service, ServiceError> {
-        Service::start_with(config, Pauses { hold: Some(hold), prepare: None })
+    pub fn start_with_point_hook(
+        config: Config,
+        hook: crate::test_hooks::PointHook,
+    ) -> Result<Service, ServiceError> {
+        Service::start_with_hooks(config, TestHooks { point_hook: Some(hook), connect_hook: None })
     }
 
-    /// The same, with each connection to a node prepared before it carries anything.
+    /// Like [`Service::start`], with a hook for each new connection to a node.
     ///
     /// # Errors
-    /// As [`Service::start`].
+    /// Same as [`Service::start`].
     #[cfg(feature = "pauses")]
-    pub fn start_prepared(
+    pub fn start_with_connect_hook(
         config: Config,
-        prepare: crate::test_hooks::Prepare,
+        hook: crate::test_hooks::ConnectHook,
     ) -> Result<Service, ServiceError> {
-        Service::start_with(config, Pauses { hold: None, prepare: Some(prepare) })
+        Service::start_with_hooks(config, TestHooks { point_hook: None, connect_hook: Some(hook) })
     }
 
-    fn start_with(config: Config, pauses: Pauses) -> Result<Service, ServiceError> {
+    fn start_with_hooks(config: Config, hooks: TestHooks) -> Result<Service, ServiceError> {
         let address = config.listen;
-        let grace = Duration::from_secs_f64(config.module.drain_grace_ms / 1_000.0);
-        let longest = config.module.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        let driver = Driver::new(config.module, config.seed)?;
+        let grace = Duration::from_secs_f64(config.scheduler.drain_grace_ms / 1_000.0);
+        let longest_deadline = config.scheduler.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+        let driver = Driver::new(config.scheduler, config.seed)?;
         let clock = Clock::start();
-        // Descriptors first: a host that gets none has begun nothing.
+        // Descriptors first, so that a host that gets none has not started anything.
         let listener = get_to_start(|| TcpListener::bind(address));
         let listener = Arc::new(listener.map_err(|source| ServiceError::Listen { address, source })?);
         let (node_poller, client_poller) = (get_to_start(Poller::new)?, get_to_start(Poller::new)?);
         let flusher = get_to_start(Flusher::start)?;
         let (engine, messages) = bounded(ENGINE_QUEUE);
-        let table = Arc::new(Mutex::new(ClientTable::new(max_client_connections(config.limits.sockets))));
-        let pool = Pool::new(config.links, max_node_connections(config.limits.sockets));
-        let mut nodes = Nodes::new(engine.clone(), clock, flusher.clone(), node_poller);
-        nodes.pauses = pauses.clone();
-        let nodes = Arc::new(nodes);
-        let reads = nodes.clone();
-        spawn_small("nodes", move || reads.run())?;
-        let mut running = Engine::new(driver, pool, clock, table.clone(), nodes, config.links.connect_ms);
-        running.pauses = pauses.clone();
-        running.known(&config.known);
-        spawn_small("engine", move || running.run(&messages))?;
-        let discovery = Arc::new(Following::new(config.discovery));
-        let watcher = Watcher::new(discovery.clone(), engine.clone(), Pace::within(grace));
+        let table = Arc::new(Mutex::new(ClientTable::new(max_client_connections(config.limits.descriptors))));
+        let pool = Pool::new(config.links, max_node_connections(config.limits.descriptors));
+        let mut node_links = NodeLinks::new(engine.clone(), clock, flusher.clone(), node_poller);
+        node_links.hooks = hooks.clone();
+        let node_links = Arc::new(node_links);
+        let reader = node_links.clone();
+        spawn_small("nodes", move || reader.run())?;
+        let mut engine_thread =
+            Engine::new(driver, pool, clock, table.clone(), node_links, config.links.connect_timeout_ms);
+        engine_thread.hooks = hooks.clone();
+        engine_thread.load_cached_list(&config.cached_nodes);
+        spawn_small("engine", move || engine_thread.run(&messages))?;
+        let discovery = Arc::new(DiscoveryTarget::new(config.discovery));
+        let watcher = DiscoveryWatcher::new(discovery.clone(), engine.clone(), CallTiming::for_grace(grace));
         spawn_small("discovery", move || watcher.run())?;
-        let (mailbox, leaving) = (Arc::new(Mailbox::new(client_poller)), Arc::new(Leaving::default()));
-        let mut front = Front::new(
+        let (mailbox, shutdown) = (Arc::new(Mailbox::new(client_poller)), Arc::new(ShutdownFlags::default()));
+        let mut client_reader = ClientReader::new(
             mailbox.clone(),
             table.clone(),
-            config.words,
+            config.schema,
             engine.clone(),
             clock,
             flusher,
-            leaving.clone(),
+            shutdown.clone(),
         );
-        front.pauses = pauses;
-        front.open(&listener)?;
-        let accepting = listener.clone();
-        spawn_small("clients", move || front.run(&accepting))?;
+        client_reader.hooks = hooks;
+        client_reader.register_listener(&listener)?;
+        let reader_listener = listener.clone();
+        spawn_small("clients", move || client_reader.run(&reader_listener))?;
         tracing::info!(name = config.name, %address, "host listens");
-        let longest = Duration::from_secs_f64(longest / 1_000.0);
-        Ok(Service { listener, engine, mailbox, table, discovery, leaving, longest })
+        let longest_deadline = Duration::from_secs_f64(longest_deadline / 1_000.0);
+        Ok(Service { listener, engine, mailbox, table, discovery, shutdown, longest_deadline })
     }
 
-    /// Where clients come.
+    /// Address on which clients connect.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Where it listens, so that a test can make the buffers of its connections small.
+    /// The listener, so that a test can shrink the buffers of its connections.
     #[cfg(feature = "pauses")]
     pub fn listener(&self) -> &TcpListener {
         &self.listener
     }
 
-    /// Client connections that it holds, those included that it is ending.
-    pub fn clients(&self) -> usize {
-        lock(&self.table).held()
+    /// Number of client connections, including those that are being closed.
+    pub fn client_count(&self) -> usize {
+        lock(&self.table).count()
     }
 
-    /// Follows discovery at another address from now on, with the list as it is until that one tells its own.
+    /// Follows discovery at another address from now on. The node list stays in force until that address
+    /// returns its own.
     pub fn set_discovery_address(&self, discovery: SocketAddr) {
-        self.discovery.change(discovery);
+        self.discovery.set_address(discovery);
     }
 
-    /// Leaves in order: takes connections and serves all that are there for as long as the platform lets it, then ends
-    /// them. False where something taken could not be answered.
+    /// Shuts down in order: accepts connections and serves requests for as long as the platform allows, then
+    /// closes all connections. Returns `false` if an accepted request could not be answered.
     pub fn stop(&self) -> bool {
         let began = Instant::now();
-        let departure = Departure::of(self.longest);
-        if self.engine.send(Message::Leave(departure.last)).is_err() {
+        let times = ShutdownTimes::for_deadline(self.longest_deadline);
+        if self.engine.send(Message::Shutdown(times.final_answers)).is_err() {
             return false;
         }
-        for (at, flag) in [(departure.closing, &self.leaving.closing), (departure.last, &self.leaving.last)] {
+        for (at, flag) in
+            [(times.close_idle, &self.shutdown.close_idle), (times.final_answers, &self.shutdown.close_all)]
+        {
             std::thread::sleep(at.saturating_sub(began.elapsed()));
             flag.store(true, Ordering::SeqCst);
             self.mailbox.poller.wake();
         }
-        let until = began + departure.gone;
+        let until = began + times.exit;
         loop {
-            let held = lock(&self.table).held();
+            let connections = lock(&self.table).count();
             let (to, from) = bounded(1);
-            let asked = self.engine.send(Message::Open(to)).is_ok();
-            let open = if asked { from.recv_timeout(Duration::from_secs(1)).unwrap_or(1) } else { 0 };
-            if held == 0 && open == 0 {
+            let is_sent = self.engine.send(Message::CountOpen(to)).is_ok();
+            let open = if is_sent { from.recv_timeout(Duration::from_secs(1)).unwrap_or(1) } else { 0 };
+            if connections == 0 && open == 0 {
                 return true;
             }
             if Instant::now() >= until {
@@ -207,7 +221,7 @@
 
 impl Drop for Service {
     fn drop(&mut self) {
-        self.leaving.over.store(true, Ordering::SeqCst);
+        self.shutdown.stop.store(true, Ordering::SeqCst);
         self.mailbox.poller.wake();
         let _ = self.engine.try_send(Message::Stop);
     }
--- a/crates/serving/src/test_hooks.rs
+++ b/crates/serving/src/test_hooks.rs
@@ -1,51 +1,52 @@
-//! Named points at which a test holds a host, so that two events cross in a given order. They exist in tests only: without
-//! the feature `pauses`, which nothing but tests turns on, there is nothing to be held.
+//! Hooks by which tests force an order of events. They exist only with the feature `pauses`, which only tests
+//! enable.
 
 use std::net::TcpStream;
 
-/// Where a host can be held.
+/// Points at which a hook is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
     /// The engine is about to take its next message.
-    EngineTakes,
-    /// The reader of client connections is about to look at what came.
-    ReaderLooks,
-    /// It has found nothing unread on a connection, and is about to end it.
-    ReaderEnds,
+    EngineReceive,
+    /// The client reader is about to handle the connections that are ready.
+    ReaderPoll,
+    /// The client reader has found no unread data on a connection and is about to close it.
+    ReaderClose,
 }
 
-/// What is called at each point, in the thread that comes by.
+/// Hook called at each point, in the thread that reaches it. It may block.
 #[cfg(feature = "pauses")]
-pub type Hold = std::sync::Arc<dyn Fn(Point) + Send + Sync>;
+pub type PointHook = std::sync::Arc<dyn Fn(Point) + Send + Sync>;
 
-/// What is called with each connection to a node before it carries anything, so that a test can make its buffers small.
+/// Hook called with each new connection to a node before any data is sent, so that a test can shrink its
+/// buffers.
 #[cfg(feature = "pauses")]
-pub type Prepare = std::sync::Arc<dyn Fn(&TcpStream) + Send + Sync>;
+pub type ConnectHook = std::sync::Arc<dyn Fn(&TcpStream) + Send + Sync>;
 
-/// What holds a host, if anything.
+/// The hooks of a host, if any.
 #[derive(Clone, Default)]
-pub(crate) struct Pauses {
+pub(crate) struct TestHooks {
     #[cfg(feature = "pauses")]
-    pub(crate) hold: Option<Hold>,
+    pub(crate) point_hook: Option<PointHook>,
     #[cfg(feature = "pauses")]
-    pub(crate) prepare: Option<Prepare>,
+    pub(crate) connect_hook: Option<ConnectHook>,
 }
 
-impl Pauses {
+impl TestHooks {
     #[inline]
-    pub(crate) fn at(&self, _point: Point) {
+    pub(crate) fn reach(&self, _point: Point) {
         #[cfg(feature = "pauses")]
-        if let Some(hold) = &self.hold {
-            hold(_point);
+        if let Some(hook) = &self.point_hook {
+            hook(_point);
         }
     }
 
-    /// A connection to a node is begun.
+    /// Calls the hook for a new connection to a node.
     #[inline]
-    pub(crate) fn connects(&self, _stream: &TcpStream) {
+    pub(crate) fn connecting(&self, _stream: &TcpStream) {
         #[cfg(feature = "pauses")]
-        if let Some(prepare) = &self.prepare {
-            prepare(_stream);
+        if let Some(hook) = &self.connect_hook {
+            hook(_stream);
         }
     }
 }
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows discovery by calls that wait for changes.
+//! Follows discovery by long-polling calls.
 
 use crate::engine::Message;
 use crossbeam_channel::Sender;
@@ -8,171 +8,187 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest and shortest wait that a call asks for.
-const WAITS: (Duration, Duration) = (Duration::from_millis(1_000), Duration::from_millis(100));
-/// How much longer than its wait a call may take, as a part of the wait.
-const MARGIN: f64 = 0.5;
-/// Pause after a call that failed. The agent is on this machine, and costs nothing; a watch goes on only where the next
-/// call comes within 200 ms of the last answer.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Least time from the beginning of a call to that of the next: an agent that answers each one at once, with nothing new
-/// or with the whole list again, would be called without a pause otherwise.
-const SPACING: Duration = Duration::from_millis(25);
+/// Longest and shortest wait that a call asks discovery for.
+const WAIT_BOUNDS: (Duration, Duration) = (Duration::from_millis(1_000), Duration::from_millis(100));
+/// Extra time a call may take beyond its wait, as a fraction of the wait.
+const TIMEOUT_MARGIN: f64 = 0.5;
+/// Pause after a failed call. The discovery agent runs on the same machine, so calls are cheap; a watch is
+/// only continued if the next call arrives within 200 ms of the last response.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between the starts of two calls. Without it, an agent that returns every call at once, with
+/// nothing new or with the full list again, would be called in a tight loop.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long calls wait and may take.
 ///
-/// Danger: a change counts as told 6 s after discovery had it and could be reached, whatever failed before. An agent that
-/// answers slowly is heard only by a call that is long enough, and one that was silent and is back is heard only once the
-/// call under way is over. So the calls after one that failed take 200, 400, 800 and then, as all others, 1,500 ms at the
-/// most, and from there on begin anew with 200. An agent that comes back just after the longest began is asked again within
-/// 1.6 s, and an answer that takes up to 1.5 s is had within 4.8 s: 1.2 s before it counts. The settings can make these
-/// times shorter by their grace, never longer.
+/// A change counts as known to a host 6 s after discovery had it and was reachable, whatever failed before. A
+/// slow agent is only heard by a call that is long enough, and an agent that was silent is only heard once
+/// the call in progress has ended. The calls after a failed one may therefore take 200, 400, 800 and then,
+/// like all others, 1,500 ms, after which the sequence starts again at 200. An agent that returns just after
+/// the longest call began is called again within 1.6 s, and a response that takes up to 1.5 s arrives within
+/// 4.8 s: 1.2 s before the change counts. The grace period in the settings can shorten these times but never
+/// extend them.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
-    /// At discovery, for a change.
+pub(crate) struct CallTiming {
+    /// How long a call asks discovery to wait for a change.
     wait: Duration,
-    /// After a call that failed: what came back may have changes that count already.
-    retry: Duration,
+    /// Same for a call after a failed one: an agent that is back may have changes that already count.
+    retry_wait: Duration,
 }
 
-impl Pace {
-    /// Danger: an agent that went silent and came back has told all that it has at that moment, whoever was asking. A
-    /// call that began before has to be over, and the next one answered, within the grace that the rules give.
-    pub(crate) fn within(grace: Duration) -> Pace {
-        let wait = (grace / 2).clamp(WAITS.1, WAITS.0);
-        Pace { wait, retry: WAITS.1 }
+impl CallTiming {
+    /// An agent that was silent and returns counts as having notified every host of its changes at that
+    /// moment. A call that began earlier must end, and the next one must be answered, within the grace period
+    /// of the rules.
+    pub(crate) fn for_grace(grace: Duration) -> CallTiming {
+        let wait = (grace / 2).clamp(WAIT_BOUNDS.1, WAIT_BOUNDS.0);
+        CallTiming { wait, retry_wait: WAIT_BOUNDS.1 }
     }
 
-    /// The longest time that a call may take which waits so long.
-    fn whole(wait: Duration) -> Duration {
-        wait + wait.mul_f64(MARGIN).max(WAITS.1)
+    /// Time limit of a call that asks for this wait.
+    fn timeout(wait: Duration) -> Duration {
+        wait + wait.mul_f64(TIMEOUT_MARGIN).max(WAIT_BOUNDS.1)
     }
 
-    /// The longest time that the next call may take after one that failed; `last` is that of the failed one, where it
-    /// followed a failed one itself.
-    fn next_retry(self, last: Option<Duration>) -> Duration {
-        let longest = Pace::whole(self.wait);
+    /// Time limit of the next call after a failed one. `last` is the limit of the failed call if that
+    /// followed a failed call itself.
+    fn next_retry_timeout(self, last: Option<Duration>) -> Duration {
+        let longest = CallTiming::timeout(self.wait);
         match last {
             Some(last) if last < longest => longest.min(last * 2),
-            _ => Pace::whole(self.retry),
+            _ => CallTiming::timeout(self.retry_wait),
         }
     }
 }
 
-/// The address that is followed, and the call that is under way there.
-pub(crate) struct Following {
-    now: Mutex<Now>,
+/// The discovery address that is followed, and the call in progress.
+pub(crate) struct DiscoveryTarget {
+    current: Mutex<Target>,
 }
 
-struct Now {
+struct Target {
     address: SocketAddr,
     call: Option<TcpStream>,
 }
 
-impl Following {
-    pub(crate) fn new(address: SocketAddr) -> Following {
-        Following { now: Mutex::new(Now { address, call: None }) }
+impl DiscoveryTarget {
+    pub(crate) fn new(address: SocketAddr) -> DiscoveryTarget {
+        DiscoveryTarget { current: Mutex::new(Target { address, call: None }) }
     }
 
-    /// Another address counts from now on; a call under way at the old one is ended.
-    pub(crate) fn change(&self, address: SocketAddr) {
-        let mut now = lock(&self.now);
-        if std::mem::replace(&mut now.address, address) == address {
+    /// Changes the address. A call in progress at the old address is ended.
+    pub(crate) fn set_address(&self, address: SocketAddr) {
+        let mut current = lock(&self.current);
+        if std::mem::replace(&mut current.address, address) == address {
             return;
         }
-        if let Some(call) = now.call.take() {
+        if let Some(call) = current.call.take() {
             let _ = call.shutdown(Shutdown::Both);
         }
     }
 
     fn address(&self) -> SocketAddr {
-        lock(&self.now).address
+        lock(&self.current).address
     }
 
-    /// A call is under way at an address; false where another counts by now.
-    fn begins(&self, address: SocketAddr, call: &TcpStream) -> bool {
-        let mut now = lock(&self.now);
-        now.call = call.try_clone().ok();
-        now.address == address
+    /// Records a call in progress. Returns `false` if the address has changed.
+    fn call_started(&self, address: SocketAddr, call: &TcpStream) -> bool {
+        let mut current = lock(&self.current);
+        current.call = call.try_clone().ok();
+        current.address == address
     }
 
-    /// It is over; false where another address counts by now, and what was told is another agent's.
-    fn ended(&self, address: SocketAddr) -> bool {
-        let mut now = lock(&self.now);
-        now.call = None;
-        now.address == address
+    /// Records the end of a call. Returns `false` if the address has changed, in which case the response must
+    /// be ignored.
+    fn call_ended(&self, address: SocketAddr) -> bool {
+        let mut current = lock(&self.current);
+        current.call = None;
+        current.address == address
     }
 }
 
-pub(crate) struct Watcher {
-    following: Arc<Following>,
+pub(crate) struct DiscoveryWatcher {
+    target: Arc<DiscoveryTarget>,
     engine: Sender<Message>,
-    pace: Pace,
-    /// What was told last, and by whom.
-    told: Option<(SocketAddr, u64)>,
-    /// The longest time that the next call may take, where the last one failed.
-    retry: Option<Duration>,
+    timing: CallTiming,
+    /// Agent and version of the last list received.
+    last_list: Option<(SocketAddr, u64)>,
+    /// Time limit of the next call if the last one failed.
+    retry_timeout: Option<Duration>,
 }
 
-impl Watcher {
-    pub(crate) fn new(following: Arc<Following>, engine: Sender<Message>, pace: Pace) -> Watcher {
-        Watcher { following, engine, pace, told: None, retry: None }
+impl DiscoveryWatcher {
+    pub(crate) fn new(
+        target: Arc<DiscoveryTarget>,
+        engine: Sender<Message>,
+        timing: CallTiming,
+    ) -> DiscoveryWatcher {
+        DiscoveryWatcher { target, engine, timing, last_list: None, retry_timeout: None }
     }
 
-    /// Runs until nobody listens any more.
+    /// Runs until the engine is gone.
     pub(crate) fn run(mut self) {
-        while self.step() {}
+        while self.call_once() {}
     }
 
-    /// One call; false where nobody listens any more.
-    fn step(&mut self) -> bool {
+    /// Makes one call. Returns `false` if the engine is gone.
+    fn call_once(&mut self) -> bool {
         let began = Instant::now();
-        let address = self.following.address();
-        // Danger: versions are an agent's own. One asked of another may be newer than all that it has.
-        let since = self.told.filter(|(agent, _)| *agent == address).map(|(_, seq)| seq);
-        let called = self.call(address, since);
-        if !self.following.ended(address) {
+        let address = self.target.address();
+        // Each agent has its own version numbers. A version of another agent could be newer than anything
+        // this one has, so that it would never report a change.
+        let since = self.last_list.filter(|(agent, _)| *agent == address).map(|(_, version)| version);
+        let result = self.call(address, since);
+        if !self.target.call_ended(address) {
             return true;
         }
-        match called {
+        match result {
             Ok(list) => {
-                self.retry = None;
-                self.told = Some((address, list.seq));
-                // Without news too: how long nothing was heard tells what a node that comes may state of its start.
-                let listens = self.engine.send(Message::List(list)).is_ok();
-                std::thread::sleep(SPACING.saturating_sub(began.elapsed()));
-                listens
+                self.retry_timeout = None;
+                self.last_list = Some((address, list.version));
+                // Sent even without changes: the time since the last response limits the start time that a
+                // new node may report.
+                let engine_alive = self.engine.send(Message::NodeList(list)).is_ok();
+                std::thread::sleep(MIN_CALL_INTERVAL.saturating_sub(began.elapsed()));
+                engine_alive
             }
             Err(why) => {
-                if self.retry.is_none() {
-                    tracing::warn!(why, "discovery cannot be had; going on with the list as it is");
+                if self.retry_timeout.is_none() {
+                    tracing::warn!(why, "discovery failed; going on with the list as it is");
                 }
-                self.retry = Some(self.pace.next_retry(self.retry));
-                std::thread::sleep(PAUSE);
+                self.retry_timeout = Some(self.timing.next_retry_timeout(self.retry_timeout));
+                std::thread::sleep(RETRY_PAUSE);
                 true
             }
         }
     }
 
-    fn call(&mut self, address: SocketAddr, since: Option<u64>) -> Result<node_list::Listing, String> {
-        let wait = if self.retry.is_some() { self.pace.retry } else { self.pace.wait };
-        let longest = self.retry.unwrap_or(Pace::whole(wait));
+    fn call(&mut self, address: SocketAddr, since: Option<u64>) -> Result<node_list::NodeList, String> {
+        let wait = if self.retry_timeout.is_some() { self.timing.retry_wait } else { self.timing.wait };
+        let timeout = self.retry_timeout.unwrap_or(CallTiming::timeout(wait));
         let path = match since {
             None => "/discovery/hosts".to_owned(),
-            Some(seq) => format!("/discovery/hosts?since={seq}&timeout_ms={}", wait.as_millis()),
+            Some(version) => format!("/discovery/hosts?since={version}&timeout_ms={}", wait.as_millis()),
         };
-        let up = |stream: &TcpStream| self.following.begins(address, stream);
-        let (status, body) = http::get_while(address, &path, longest, up).map_err(|e| e.to_string())?;
+        let on_connect = |stream: &TcpStream| self.target.call_started(address, stream);
+        let (status, body) =
+            http::get_while(address, &path, timeout, on_connect).map_err(|e| e.to_string())?;
         if status != 200 {
             return Err(format!("{address}: status {status}"));
         }
         let list = node_list::parse(&body).map_err(|e| format!("{address}: {e}"))?;
         match since {
-            None if !list.whole => Err(format!("{address}: changes, where the whole list was asked for")),
-            // An agent that went back has begun anew: its whole list counts, and changes of it count for nothing here.
-            Some(seq) if list.seq < seq && !list.whole => {
-                self.told = None;
-                Err(format!("{address}: version {} after {seq}", list.seq))
+            None if !list.is_full => {
+                Err(format!("{address}: response holds changes only, but the full list was requested"))
+            }
+            // An agent whose version went back has restarted. Its full list is valid, but changes relative to
+            // an unknown list are not.
+            Some(version) if list.version < version && !list.is_full => {
+                self.last_list = None;
+                Err(format!(
+                    "{address}: response has version {}, older than the known version {version}",
+                    list.version
+                ))
             }
             _ => Ok(list),
         }
--- a/crates/serving/tests/races/client_connections.rs
+++ b/crates/serving/tests/races/client_connections.rs
@@ -1,7 +1,10 @@
-//! Ends of client connections, clients that leave, shutdown.
+//! Races at the end of client connections and at shutdown.
 
-use crate::common::{config, discovery, host_of, is_error, list_of, node, until, value, Client, Reaction};
-use crate::ordering::{ends_in_order, host_held, Gate, LONG};
+use crate::common::{
+    attributes_of, config, fake_discovery, fake_node, is_error, start_host_with, value_reply, wait_until,
+    Client, Reaction,
+};
+use crate::ordering::{ends_without_reset, start_host_with_gate, Gate, TIMEOUT};
 use bytes::Bytes;
 use pearfork_resp::Reply;
 use pearfork_serving::Point;
@@ -20,40 +23,43 @@
     .into_bytes()
 }
 
-/// Danger: a request that comes between the look for unread bytes and the end is read by nobody; a close over it resets
-/// the connection, and a request that is taken behind the end is run twice, since its client sends it once more.
+/// Guards against a request that arrives between the check for unread data and the close. Closing over unread
+/// data would reset the connection; executing the request would run it twice, since its client sends it
+/// again.
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_is_thrown_away_without_a_reset() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address, gate) = host_held(&config(told.address(), &[node]), Point::ReaderEnds);
+fn a_request_that_races_with_the_close_is_discarded_without_a_reset() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::ReaderClose);
     let mut silent = Client::connect(address);
-    gate.shut();
-    // It said nothing for too long: the host has looked, and is about to end it.
-    gate.held();
+    gate.close();
+    // The client sent no command for too long: the host has checked for data and is about to close the
+    // connection.
+    gate.wait_until_blocked();
     silent.stream.write_all(&command(5, 1_000)).unwrap();
     gate.open();
-    assert!(silent.reply().is_none(), "nothing is answered behind the end");
-    // What still comes is read for a while: no reset takes anything with it.
+    assert!(silent.reply().is_none(), "nothing is answered after the close");
+    // Data that still arrives is read for a while, so that no reset destroys replies.
     for _ in 0..20 {
         silent.stream.write_all(&command(6, 1_000)).expect("no reset");
     }
     silent.stream.shutdown(Shutdown::Write).unwrap();
-    assert!(ends_in_order(&mut silent.stream), "reset");
+    assert!(ends_without_reset(&mut silent.stream), "reset");
     let mut again = Client::connect(address);
-    again.read(5);
-    assert_eq!(again.served(), Some(5));
-    assert_eq!(heard.lock().unwrap().len(), 1, "sent on once, by the connection that was read");
+    again.send_read(5);
+    assert_eq!(again.served_id(), Some(5));
+    assert_eq!(received.lock().unwrap().len(), 1, "forwarded once, by the connection that was read");
 }
 
-/// Danger: a connection that ends behind its last answer is shut while the write buffer holds bytes of that answer.
+/// Guards against closing a connection while its write buffer holds part of the last reply.
 #[test]
-fn answers_that_wait_in_the_write_buffer_go_out_before_the_end() {
-    let big = [b"*3\r\n$60000\r\n".to_vec(), vec![b'v'; 60_000], b"\r\n$-1\r\n$-1\r\n".to_vec()].concat();
-    let (node, heard) = node(move |_, _| Reaction::Say(big.clone()));
-    let told = discovery(1, &[node]);
-    let (host, address) = host_of(&config(told.address(), &[node]));
-    // Its connections have what its listener has: the system takes little at once.
+fn replies_in_the_write_buffer_are_sent_before_the_close() {
+    let large_reply =
+        [b"*3\r\n$60000\r\n".to_vec(), vec![b'v'; 60_000], b"\r\n$-1\r\n$-1\r\n".to_vec()].concat();
+    let (node, received) = fake_node(move |_, _| Reaction::Reply(large_reply.clone()));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host_with(&config(agent.address(), &[node]));
+    // Accepted connections inherit the buffer size of the listener, so the kernel takes little at once.
     rustix::net::sockopt::set_socket_send_buffer_size(host.listener(), 16 * 1024).unwrap();
     let mut client = Client::connect(address);
     rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 64 * 1024).unwrap();
@@ -61,8 +67,8 @@
         client.stream.write_all(&command(id, 1_000)).unwrap();
     }
     client.stream.write_all(b"nonsense that ends it\r\n").unwrap();
-    until("its requests are with the node", || heard.lock().unwrap().len() >= 8);
-    // Only now does it read: what did not fit its window waits in the host.
+    wait_until("the node has received the requests", || received.lock().unwrap().len() >= 8);
+    // The client only reads from here on: what exceeded its window waits in the host.
     let mut served = 0;
     for _ in 1..=14 {
         match client.reply() {
@@ -71,22 +77,24 @@
                 served += 1;
             }
             Some(Reply::Error(_)) => {}
-            other => panic!("cut off behind {served}: {other:?}"),
+            other => panic!("cut off after {served} replies: {other:?}"),
         }
     }
     assert!(served >= 8, "{served}");
     assert!(is_error(&client.reply(), "ERR Protocol error"));
-    assert!(ends_in_order(&mut client.stream));
+    assert!(ends_without_reset(&mut client.stream));
 }
 
-/// Guards against a client that asks for more than it takes at once: its connection was shut under accepted requests.
+/// Guards against closing a connection with accepted requests because its client requests more than it reads
+/// at once.
 #[test]
-fn more_answers_than_a_client_takes_at_once_wait_for_it() {
+fn replies_wait_for_a_client_that_reads_slowly() {
     const REQUESTS: u64 = 80;
-    let big = [b"*3\r\n$65000\r\n".to_vec(), vec![b'v'; 65_000], b"\r\n$-1\r\n$-1\r\n".to_vec()].concat();
-    let (node, _) = node(move |_, _| Reaction::Say(big.clone()));
-    let told = discovery(1, &[node]);
-    let (host, address) = host_of(&config(told.address(), &[node]));
+    let large_reply =
+        [b"*3\r\n$65000\r\n".to_vec(), vec![b'v'; 65_000], b"\r\n$-1\r\n$-1\r\n".to_vec()].concat();
+    let (node, _) = fake_node(move |_, _| Reaction::Reply(large_reply.clone()));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host_with(&config(agent.address(), &[node]));
     rustix::net::sockopt::set_socket_send_buffer_size(host.listener(), 16 * 1024).unwrap();
     let mut client = Client::connect(address);
     rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 32 * 1024).unwrap();
@@ -103,69 +111,72 @@
     }
 }
 
-/// Slack of the platform on the time that a node is told.
-const TOLD_SLACK_MS: u32 = 150;
+/// Tolerance of the platform for the time that a node is given.
+const WAIT_TOLERANCE_MS: u32 = 150;
 
-/// The time that a command tells its node, in milliseconds.
-fn told_ms(command: &[Bytes]) -> u32 {
-    list_of(command).split("d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap()
+/// The wait time that a command gives its node, in milliseconds.
+fn wait_ms_of(command: &[Bytes]) -> u32 {
+    attributes_of(command).split("d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap()
 }
 
-/// Guards against a time told that ran from the reading: a reader that was held up told nodes more than clients had left.
+/// Guards against counting a client's time from when its request is read: a delayed reader gave nodes more
+/// time than clients had left.
 #[test]
-fn a_request_that_waited_to_be_read_tells_its_node_what_its_client_has_left() {
-    const HELD_MS: u32 = 500;
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address, gate) = host_held(&config(told.address(), &[node]), Point::ReaderLooks);
-    let (mut first, mut held) = (Client::connect(address), Client::connect(address));
-    for client in [&mut first, &mut held] {
+fn a_node_is_given_the_time_left_after_a_delayed_read() {
+    const DELAY_MS: u32 = 500;
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::ReaderPoll);
+    let (mut first, mut delayed) = (Client::connect(address), Client::connect(address));
+    for client in [&mut first, &mut delayed] {
         client.send(&["PING"]);
         client.reply();
     }
-    gate.shut();
+    gate.close();
     first.send(&["PING"]);
-    gate.held();
-    held.read_of(7, 0, 1_000);
-    std::thread::sleep(Duration::from_millis(u64::from(HELD_MS)));
+    gate.wait_until_blocked();
+    delayed.send_read_with(7, 0, 1_000);
+    std::thread::sleep(Duration::from_millis(u64::from(DELAY_MS)));
     gate.open();
-    assert_eq!(held.served(), Some(7));
-    let told = told_ms(&heard.lock().unwrap()[0]);
-    assert!(told <= 1_000 - HELD_MS + TOLD_SLACK_MS, "{told} ms");
+    assert_eq!(delayed.served_id(), Some(7));
+    let given_ms = wait_ms_of(&received.lock().unwrap()[0]);
+    assert!(given_ms <= 1_000 - DELAY_MS + WAIT_TOLERANCE_MS, "{given_ms} ms");
 }
 
-/// Guards against a request that is dated back to its connection's wait in the queue: it came long after.
+/// Guards against dating a request back to its connection's wait in the accept queue, although it arrived
+/// much later.
 #[test]
-fn a_request_on_a_connection_that_waited_to_be_taken_has_the_time_since_its_own_sending() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address, gate) = host_held(&config(told.address(), &[node]), Point::ReaderLooks);
-    gate.shut();
-    // More than one look takes: some wait in the queue.
+fn time_in_the_accept_queue_does_not_count_for_later_requests() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::ReaderPoll);
+    gate.close();
+    // More connections than are accepted at once, so that some wait in the queue.
     let mut waiting: Vec<Client> = (0..70).map(|_| Client::connect(address)).collect();
-    gate.held();
+    gate.wait_until_blocked();
     std::thread::sleep(Duration::from_millis(300));
     gate.open();
     std::thread::sleep(Duration::from_millis(400));
     let mut last = waiting.pop().unwrap();
-    last.read_of(8, 0, 1_000);
-    assert_eq!(last.served(), Some(8));
-    let told = told_ms(&heard.lock().unwrap()[0]);
-    assert!((900..=1_000).contains(&told), "{told} ms");
+    last.send_read_with(8, 0, 1_000);
+    assert_eq!(last.served_id(), Some(8));
+    let given_ms = wait_ms_of(&received.lock().unwrap()[0]);
+    assert!((900..=1_000).contains(&given_ms), "{given_ms} ms");
 }
 
-/// Guards against a time told that ran from the parsing: what waited behind 32 open commands told the whole of its time.
+/// Guards against counting a client's time from when its command is parsed: a command that waited behind 32
+/// open ones gave its node the full time.
 #[test]
-fn a_command_that_waited_behind_others_tells_its_node_what_its_client_has_left() {
+fn a_node_is_given_the_time_left_after_waiting_behind_other_commands() {
     let began = Instant::now();
-    let late = Arc::new(Mutex::new(Vec::new()));
-    let kept = late.clone();
-    let (node, _) = node(move |_, c| {
-        kept.lock().unwrap().push((began.elapsed(), told_ms(c)));
-        Reaction::Later(Duration::from_millis(30), value(c))
+    let observed = Arc::new(Mutex::new(Vec::new()));
+    let recorded = observed.clone();
+    let (node, _) = fake_node(move |_, c| {
+        recorded.lock().unwrap().push((began.elapsed(), wait_ms_of(c)));
+        Reaction::ReplyAfter(Duration::from_millis(30), value_reply(c))
     });
-    let told = discovery(1, &[node]);
-    let (_host, address) = host_of(&config(told.address(), &[node]));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host_with(&config(agent.address(), &[node]));
     let mut client = Client::connect(address);
     let sent_at = began.elapsed();
     let all: Vec<u8> = (1..=120).flat_map(|id| command(id, 1_000)).collect();
@@ -173,94 +184,99 @@
     for _ in 1..=120 {
         assert!(client.reply().is_some());
     }
-    let late = late.lock().unwrap();
-    assert!(late.iter().any(|(at, _)| *at > sent_at + Duration::from_millis(300)), "none came late");
-    for (at, told) in late.iter() {
+    let observed = observed.lock().unwrap();
+    assert!(
+        observed.iter().any(|(at, _)| *at > sent_at + Duration::from_millis(300)),
+        "no command was delayed"
+    );
+    for (at, given_ms) in observed.iter() {
         let left = 1_000u32.saturating_sub((*at - sent_at).as_millis() as u32);
-        assert!(*told <= left + TOLD_SLACK_MS, "{told} ms told where {left} ms are left");
+        assert!(*given_ms <= left + WAIT_TOLERANCE_MS, "given {given_ms} ms with {left} ms left");
     }
 }
 
-/// Guards against a listener that is open to the last: what the system had taken in the host's name was reset unread.
+/// Guards against keeping the listener open to the end: connections that the kernel had accepted for the host
+/// were reset unread.
 #[test]
-fn a_host_that_leaves_refuses_connections_before_it_is_gone() {
-    let (node, _) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address) = host_of(&config(told.address(), &[node]));
-    let left = std::thread::spawn(move || {
+fn connections_are_refused_before_the_host_exits() {
+    let (node, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host_with(&config(agent.address(), &[node]));
+    let shutdown = std::thread::spawn(move || {
         host.stop();
-        // The process would end here; until then whoever connects must have been refused.
+        // The process would exit here; until then new connections must have been refused.
         std::thread::sleep(Duration::from_millis(50));
     });
     let mut refused = 0;
-    while !left.is_finished() {
+    while !shutdown.is_finished() {
         match TcpStream::connect(address) {
             Ok(mut stream) => {
-                stream.set_read_timeout(Some(LONG)).unwrap();
+                stream.set_read_timeout(Some(TIMEOUT)).unwrap();
                 let _ = stream.write_all(&command(9, 1_000));
-                let mut got = [0; 64];
-                // Crossing our end it may hear nothing, in order; a reset would lose what it wrote.
-                let read = stream.read(&mut got);
-                assert!(read.is_ok(), "{read:?} for what the host's machine had taken");
+                let mut buffer = [0; 64];
+                // The connection may end without a reply if it races with the close, but without a reset,
+                // which would lose the request.
+                let read = stream.read(&mut buffer);
+                assert!(read.is_ok(), "{read:?} on a connection that the kernel had accepted");
             }
             Err(_) => refused += 1,
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert!(refused > 0, "its listener was open to the end");
+    assert!(refused > 0, "the listener was open to the end");
 }
 
-/// Danger: a connection that is not being read, since as many of its commands are open as may be, shows no end. Its client
-/// has left, and what waits would still be sent for it.
+/// Guards against not noticing the disconnect of a client whose connection is not read because it has too
+/// many open commands: its waiting requests would still be sent.
 #[test]
-fn a_client_that_leaves_with_all_its_commands_open_is_seen_to_leave() {
+fn a_disconnect_is_noticed_while_the_connection_is_not_read() {
     let gate = Gate::default();
-    gate.shut();
-    let held = gate.clone();
-    let (node, heard) = node(move |_, c| {
-        held.pass();
-        Reaction::Say(value(c))
+    gate.close();
+    let blocking = gate.clone();
+    let (node, received) = fake_node(move |_, c| {
+        blocking.pass();
+        Reaction::Reply(value_reply(c))
     });
-    let told = discovery(1, &[node]);
-    let (host, address) = host_of(&config(told.address(), &[node]));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host_with(&config(agent.address(), &[node]));
     let mut client = Client::connect(address);
     for id in 1..=40 {
         client.stream.write_all(&command(id, 60_000)).unwrap();
     }
-    gate.held();
-    // The node answers nothing: what it may be sent at once is with it, and the rest waits.
+    gate.wait_until_blocked();
+    // The node does not respond: it has as many commands as it may be sent, and the rest waits.
     let mut sent = 0;
-    until("no more is sent", || {
+    wait_until("no more commands are sent", || {
         std::thread::sleep(Duration::from_millis(200));
-        let before = std::mem::replace(&mut sent, heard.lock().unwrap().len());
+        let before = std::mem::replace(&mut sent, received.lock().unwrap().len());
         before == sent && sent > 0
     });
     client.stream.shutdown(Shutdown::Write).unwrap();
-    until("it is seen to have left", || host.clients() == 0);
-    assert!(sent < 32, "{sent}: some waited for their first attempt");
+    wait_until("the disconnect is noticed", || host.client_count() == 0);
+    assert!(sent < 32, "{sent} sent: none waited for its first attempt");
     gate.open();
     let mut other = Client::connect(address);
-    until("another is served", || {
-        other.read(99);
-        other.served() == Some(99)
+    wait_until("another client is served", || {
+        other.send_read(99);
+        other.served_id() == Some(99)
     });
-    let heard = heard.lock().unwrap();
-    let theirs = heard.iter().filter(|c| &c[2][..] != b"0000000000000063").count();
-    assert_eq!(theirs, sent, "nothing of it was sent after it had left");
+    let received = received.lock().unwrap();
+    let sent_for_client = received.iter().filter(|c| &c[2][..] != b"0000000000000063").count();
+    assert_eq!(sent_for_client, sent, "sent after the disconnect");
 }
 
-/// Danger: with the engine behind, the word that a client left stands in the queue behind its request.
+/// Guards against a disconnect that is queued at the engine behind the client's request.
 #[test]
-fn a_client_that_leaves_before_its_turn_at_the_engine_has_nothing_sent() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address, gate) = host_held(&config(told.address(), &[node]), Point::EngineTakes);
-    // A connection to the node rests: what is begun goes out at once.
+fn nothing_is_sent_for_a_client_that_disconnects_while_queued_at_the_engine() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::EngineReceive);
+    // An idle link to the node exists, so an attempt is sent at once.
     let mut other = Client::connect(address);
-    other.read(98);
-    assert_eq!(other.served(), Some(98));
-    gate.shut();
-    // Hundreds leave in one burst.
+    other.send_read(98);
+    assert_eq!(other.served_id(), Some(98));
+    gate.close();
+    // All of them disconnect in one burst.
     let leaving: Vec<Client> = (1..=80)
         .map(|id| {
             let mut client = Client::connect(address);
@@ -268,25 +284,26 @@
             client
         })
         .collect();
-    until("all were read", || host.clients() == 81);
+    wait_until("all connections are read", || host.client_count() == 81);
     drop(leaving);
-    until("they are seen to have left", || host.clients() == 1);
+    wait_until("the disconnects are noticed", || host.client_count() == 1);
     gate.open();
-    other.read(99);
-    assert_eq!(other.served(), Some(99));
-    assert_eq!(heard.lock().unwrap().len(), 2, "only what somebody waits for");
+    other.send_read(99);
+    assert_eq!(other.served_id(), Some(99));
+    assert_eq!(received.lock().unwrap().len(), 2, "only requests of connected clients are sent");
 }
 
-/// Danger: what the system took in the host's name is owed an answer, however many came in one burst before the end.
+/// Guards against leaving connections in the accept queue unanswered at shutdown, however many arrive in one
+/// burst.
 #[test]
-fn a_burst_in_the_queue_at_the_word_to_leave_is_answered() {
-    let (node, _) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address, gate) = host_held(&config(told.address(), &[node]), Point::ReaderLooks);
+fn a_burst_in_the_accept_queue_at_shutdown_is_answered() {
+    let (node, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::ReaderPoll);
     let mut first = Client::connect(address);
     first.send(&["PING"]);
     assert!(first.reply().is_some());
-    gate.shut();
+    gate.close();
     let mut burst: Vec<Client> = (0..100)
         .map(|_| {
             let mut client = Client::connect(address);
@@ -294,9 +311,9 @@
             client
         })
         .collect();
-    gate.held();
+    gate.wait_until_blocked();
     let stopped = std::thread::spawn(move || host.stop());
-    // Past the time for which the platform sends new ones, and for which the old text took any.
+    // Longer than the platform sends new connections after a shutdown began.
     std::thread::sleep(Duration::from_millis(700));
     gate.open();
     for (i, client) in burst.iter_mut().enumerate() {
@@ -304,76 +321,78 @@
     }
     assert!(stopped.join().unwrap());
     for mut client in burst {
-        assert!(ends_in_order(&mut client.stream));
+        assert!(ends_without_reset(&mut client.stream));
     }
 }
 
-/// Danger: a client may wait for longer than the platform lets a host live on; the host would be ended with its request.
+/// Guards against a client that waits for longer than the platform lets the host run, which would kill the
+/// host with an open request.
 #[test]
-fn what_was_taken_before_the_word_to_leave_is_answered_whatever_its_client_waits() {
-    let (node, heard) = node(|_, _| Reaction::Nothing);
-    let told = discovery(1, &[node]);
-    let (host, address) = host_of(&config(told.address(), &[node]));
+fn requests_accepted_before_a_shutdown_are_answered_however_long_their_clients_wait() {
+    let (node, received) = fake_node(|_, _| Reaction::NoReply);
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host_with(&config(agent.address(), &[node]));
     let mut client = Client::connect(address);
-    client.read_of(1, 0, 60_000);
-    until("it is out", || !heard.lock().unwrap().is_empty());
+    client.send_read_with(1, 0, 60_000);
+    wait_until("the request is in flight", || !received.lock().unwrap().is_empty());
     let stopped = std::thread::spawn(move || host.stop());
     assert!(matches!(client.reply(), Some(Reply::Error(_))));
-    assert!(ends_in_order(&mut client.stream));
+    assert!(ends_without_reset(&mut client.stream));
     assert!(stopped.join().unwrap());
 }
 
-/// A client that rests until the host ends it, and writes in that very moment.
+/// An idle client sends a request at the moment at which the host closes its connection.
 #[test]
-fn a_request_that_crosses_the_end_of_a_host_that_leaves_is_not_sent_on() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address, gate) = host_held(&config(told.address(), &[node]), Point::ReaderEnds);
+fn a_request_that_races_with_the_close_at_shutdown_is_not_forwarded() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::ReaderClose);
     let mut client = Client::connect(address);
-    client.read(1);
-    assert_eq!(client.served(), Some(1));
-    gate.shut();
+    client.send_read(1);
+    assert_eq!(client.served_id(), Some(1));
+    gate.close();
     let stopped = std::thread::spawn(move || host.stop());
-    gate.held();
+    gate.wait_until_blocked();
     client.stream.write_all(&command(2, 1_000)).unwrap();
     gate.open();
     assert!(client.reply().is_none());
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert!(ends_in_order(&mut client.stream), "reset");
+    assert!(ends_without_reset(&mut client.stream), "reset");
     assert!(stopped.join().unwrap());
-    assert_eq!(heard.lock().unwrap().len(), 1);
+    assert_eq!(received.lock().unwrap().len(), 1);
 }
 
-/// Half a request at the departure: its other half comes before the last moment, and is answered. (That it is not ended as
-/// one that rests is a test of the table.)
+/// The second half of a request arrives before the final answers of a shutdown and the request is answered. A
+/// test of the table covers that the connection is not closed as idle.
 #[test]
-fn a_request_half_read_when_connections_are_closed_is_waited_for() {
-    let (node, _) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address, gate) = host_held(&config(told.address(), &[node]), Point::ReaderEnds);
-    let mut rests = Client::connect(address);
-    rests.send(&["PING"]);
-    assert!(rests.reply().is_some());
-    gate.shut();
+fn a_partially_read_request_is_awaited_during_shutdown() {
+    let (node, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address, gate) = start_host_with_gate(&config(agent.address(), &[node]), Point::ReaderClose);
+    let mut idle = Client::connect(address);
+    idle.send(&["PING"]);
+    assert!(idle.reply().is_some());
+    gate.close();
     let stopped = std::thread::spawn(move || host.stop());
     std::thread::sleep(Duration::from_millis(600));
     let mut client = Client::connect(address);
     let command = command(2, 1_000);
     client.stream.write_all(&command[..40]).unwrap();
-    // The one that rests is about to be ended: the time has come for those of which nothing is expected.
-    gate.held();
+    // The idle connection is about to be closed, so connections without expected requests are being closed.
+    gate.wait_until_blocked();
     client.stream.write_all(&command[40..]).unwrap();
     gate.open();
-    assert_eq!(client.served(), Some(2));
+    assert_eq!(client.served_id(), Some(2));
     assert!(stopped.join().unwrap());
 }
 
-/// One connection sends hundreds and goes, others say nothing: a usual client is served beside them.
+/// Some clients send hundreds of requests and disconnect, others send nothing: a well-behaved client is
+/// served meanwhile.
 #[test]
-fn a_flood_that_leaves_costs_a_usual_client_nothing() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address) = host_of(&config(told.address(), &[node]));
+fn a_flood_of_requests_does_not_affect_another_client() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host_with(&config(agent.address(), &[node]));
     let silent: Vec<Client> = (0..200).map(|_| Client::connect(address)).collect();
     for round in 0..5u64 {
         let mut flood = Client::connect(address);
@@ -383,10 +402,10 @@
         drop(flood);
     }
     let mut client = Client::connect(address);
-    let (mut served, end) = (0, Instant::now() + LONG);
+    let (mut served, end) = (0, Instant::now() + TIMEOUT);
     let mut replies = Vec::new();
     for id in 1.. {
-        client.read(id);
+        client.send_read(id);
         replies.push((Instant::now(), client.reply()));
         served += usize::from(matches!(replies.last(), Some((_, Some(Reply::Bulk(_))))));
         if served == 30 {
@@ -396,7 +415,7 @@
         assert!(Instant::now() < end, "{served} of {} are served; {last:?}", replies.len());
     }
     drop(silent);
-    until("all but the usual one are gone", || host.clients() == 1);
-    assert!(heard.lock().unwrap().len() < 2_500);
+    wait_until("only the other client is left", || host.client_count() == 1);
+    assert!(received.lock().unwrap().len() < 2_500);
     drop(client);
 }
--- a/crates/serving/tests/races/disconnects.rs
+++ b/crates/serving/tests/races/disconnects.rs
@@ -1,13 +1,17 @@
-//! Clients that leave while their requests wait, at each place where one can wait: nothing is begun for them any more.
+//! Clients that disconnect while their requests wait, at each place where they can wait: no attempt is
+//! started for them.
 //!
-//! A client that closes its connection, ends its sending side or has its connection reset has gone. The orders are forced:
-//! the host is held at a point until the end of the client's connection stands in its socket, and what would begin an
-//! attempt is in the engine's queue before or behind the word of it.
+//! A client has disconnected when it closes its connection, shuts down its sending side, or resets the
+//! connection. The order of events is forced: the host is blocked until the end of the connection is visible
+//! in its socket, and the event that would start an attempt is in the engine's queue before or after the
+//! disconnect.
 
-use crate::common::{config, discovery, is_error, node, until, value, Client, Heard, Reaction};
+use crate::common::{
+    config, fake_discovery, fake_node, is_error, value_reply, wait_until, Client, Reaction, ReceivedCommands,
+};
 use crate::ordering::{
-    answer, host_held, host_with_small_buffers, is_silent, line, list, read_command, reset, Agent, Departure,
-    Gate, LateNode, LONG,
+    is_silent, node_entry, node_list, read_command, reset, respond_to, start_host_with_gate,
+    start_host_with_small_buffers, Disconnect, Gate, GatedNode, ManualAgent, TIMEOUT,
 };
 use bytes::Bytes;
 use pearfork_resp::{CommandDecoder, CommandLimits};
@@ -17,18 +21,19 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Id of the request whose client leaves.
-const LEAVER: u64 = 0x1eaf;
+/// Id of the request whose client disconnects.
+const DISCONNECTING_ID: u64 = 0x1eaf;
 /// Id of a request whose client stays.
-const USUAL: u64 = 0x57a4;
-/// A plan without a limit, and volumes.
+const STAYING_ID: u64 = 0x57a4;
+/// A plan that no test limits.
 const UNLIMITED: &str = "free";
+/// A plan that a test may limit.
 const LIMITED: &str = "gold";
-/// How long a test goes on looking for what must not come.
-const WATCHED: Duration = Duration::from_millis(300);
+/// How long a test watches for something that must not happen.
+const WATCH_TIME: Duration = Duration::from_millis(300);
 
-/// A configuration in which nothing but what a test means ends a wait: long goals and deadlines.
-fn patient(discovery: SocketAddr, nodes: &[SocketAddr]) -> Value {
+/// A configuration with long goals and deadlines, so that only the events of a test end a wait.
+fn long_timeouts(discovery: SocketAddr, nodes: &[SocketAddr]) -> Value {
     let mut config = config(discovery, nodes);
     let settings = &mut config["settings"];
     settings["Limits"]["ConnectTimeoutMs"] = json!(8_000.0);
@@ -44,45 +49,47 @@
     config
 }
 
-fn get(client: &mut Client, id: u64, plan: &str, units: u32) {
+fn send_read(client: &mut Client, id: u64, plan: &str, units: u32) {
     let list = format!("c=read,t={plan},d=60000,volume={id:016x},units={units},shard=0,hosts=1");
     client.send(&["OBJ.GET", "0000000000000005", &format!("{id:016x}"), &list]);
 }
 
-/// A write whose body no small buffer holds.
-fn put(client: &mut Client, id: u64) {
+/// A write with a body that exceeds small buffers.
+fn send_large_write(client: &mut Client, id: u64) {
     let list = format!("c=write,t=free,d=20000,k={id:016x},volume=0000000000000001,units=1,shard=0,hosts=3");
     let body = "b".repeat(60_000);
     client.send(&["OBJ.PUT", "0000000000000005", &format!("{id:016x}"), &list, &body]);
 }
 
-fn is_of(command: &[Bytes], id: u64) -> bool {
+fn has_id(command: &[Bytes], id: u64) -> bool {
     command[2] == format!("{id:016x}").as_bytes()
 }
 
-fn heard_of(heard: &Heard, id: u64) -> usize {
-    heard.lock().unwrap().iter().filter(|c| is_of(c, id)).count()
+fn count_received(received: &ReceivedCommands, id: u64) -> usize {
+    received.lock().unwrap().iter().filter(|c| has_id(c, id)).count()
 }
 
-/// The engine has taken all that was read before, and a request is open: it refuses another under its id.
-fn is_open(marker: &mut Client, id: u64) {
-    get(marker, id, UNLIMITED, 1);
+/// Checks that a request is open, since another one with its id is rejected. The engine has then handled
+/// everything that was read before.
+fn assert_open(marker: &mut Client, id: u64) {
+    send_read(marker, id, UNLIMITED, 1);
     let reply = marker.reply();
     assert!(is_error(&reply, "ERR id is in use"), "the request is not open: {reply:?}");
 }
 
-/// The reader of client connections is past all that stood in their sockets before.
-fn reader_is_past(marker: &mut Client) {
+/// Waits until the client reader has handled all data that was in its sockets before.
+fn wait_for_reader(marker: &mut Client) {
     marker.send(&["PING"]);
     assert!(marker.reply().is_some());
 }
 
-/// A client whose connection is being read. Danger: what stands on one that nobody has accepted yet is read after what comes
-/// later on others; and a second command behind one without a word would be held back by its own system for 40 ms.
-fn connected(address: SocketAddr) -> Client {
+/// Connects a client and waits until the connection is read. Data on a connection that is not accepted yet
+/// would be read after later data on others. Nagle's algorithm is off, since it would hold back a second
+/// command for 40 ms.
+fn connect_and_ping(address: SocketAddr) -> Client {
     let mut client = Client::connect(address);
     client.stream.set_nodelay(true).unwrap();
-    reader_is_past(&mut client);
+    wait_for_reader(&mut client);
     client
 }
 
@@ -90,184 +97,192 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// Where a request waits in the module, and for how long.
+/// A reason for a request to wait in the scheduler.
 struct Wait {
     settings: fn(&mut Value),
-    /// Units of the request.
+    /// Cost of the request in units.
     units: u32,
-    /// The node turns it away.
-    turned_away: bool,
-    /// The node has just started.
+    /// Whether the node rejects it.
+    rejected: bool,
+    /// Whether the node has just started.
     cold: bool,
-    /// Longer than it waits.
-    over_after: Duration,
+    /// A time longer than the request waits.
+    longer_than_wait: Duration,
 }
 
-/// What stands first in the engine's queue once the wait is over.
+/// The event that is first in the engine's queue once the wait is over.
 #[derive(Clone, Copy, Debug)]
-enum First {
-    /// The word that the client has left.
-    Departure,
-    /// A list, at which the module sends what may go.
-    List,
+enum FirstEvent {
+    /// The disconnect of the client.
+    Disconnect,
+    /// A node list, which makes the scheduler send what may be sent.
+    NodeList,
 }
 
-/// A client leaves while its request waits in the module; its wait is over by the time the engine goes on.
-fn nothing_is_begun_behind(wait: &Wait, departure: Departure, first: First) {
-    let turned_away = wait.turned_away;
-    let (node, heard) = node(move |_, c| {
-        Reaction::Say(if turned_away && is_of(c, LEAVER) { b"-BUSY\r\n".to_vec() } else { value(c) })
+/// A client disconnects while its request waits in the scheduler. The wait is over when the engine continues.
+fn check_nothing_sent_after(wait: &Wait, disconnect: Disconnect, first: FirstEvent) {
+    let rejected = wait.rejected;
+    let (node, received) = fake_node(move |_, c| {
+        Reaction::Reply(if rejected && has_id(c, DISCONNECTING_ID) {
+            b"-BUSY\r\n".to_vec()
+        } else {
+            value_reply(c)
+        })
     });
-    let agent = Agent::new();
-    let mut config = patient(agent.address, &[node]);
+    let agent = ManualAgent::new();
+    let mut config = long_timeouts(agent.address, &[node]);
     (wait.settings)(&mut config["settings"]);
-    let (host, address, gate) = host_held(&config, Point::EngineTakes);
-    let ready = line(node, "SERVING", if wait.cold { unix_ms() } else { 0 });
-    agent.tell(&list(2, true, std::slice::from_ref(&ready)));
-    // The next call says that the list stands in the engine's queue.
-    let (_, call) = agent.call();
-    let mut usual = connected(address);
-    // A connection to the node rests: what is begun goes out at once.
-    get(&mut usual, USUAL, UNLIMITED, 1);
-    assert_eq!(usual.served(), Some(USUAL));
-    let mut leaver = connected(address);
-    get(&mut leaver, LEAVER, LIMITED, wait.units);
-    if turned_away {
-        until("its first attempt is with the node", || heard_of(&heard, LEAVER) > 0);
+    let (host, address, gate) = start_host_with_gate(&config, Point::EngineReceive);
+    let ready = node_entry(node, "SERVING", if wait.cold { unix_ms() } else { 0 });
+    agent.respond(&node_list(2, true, std::slice::from_ref(&ready)));
+    // The next call shows that the list is in the engine's queue.
+    let (_, call) = agent.next_call();
+    let mut staying = connect_and_ping(address);
+    // An idle link to the node exists, so an attempt is sent at once.
+    send_read(&mut staying, STAYING_ID, UNLIMITED, 1);
+    assert_eq!(staying.served_id(), Some(STAYING_ID));
+    let mut leaving = connect_and_ping(address);
+    send_read(&mut leaving, DISCONNECTING_ID, LIMITED, wait.units);
+    if rejected {
+        wait_until("the node has received the first attempt", || {
+            count_received(&received, DISCONNECTING_ID) > 0
+        });
     }
-    reader_is_past(&mut usual);
-    is_open(&mut usual, LEAVER);
-    if !turned_away {
-        assert_eq!(heard_of(&heard, LEAVER), 0, "it does not wait");
+    wait_for_reader(&mut staying);
+    assert_open(&mut staying, DISCONNECTING_ID);
+    if !rejected {
+        assert_eq!(count_received(&received, DISCONNECTING_ID), 0, "the request did not wait");
     }
-    gate.shut();
-    let news = list(3, false, &[ready]);
-    let left = match first {
-        First::Departure => {
-            let left = departure.leave(leaver.stream);
-            until("it is seen to have left", || host.clients() == 1);
-            reader_is_past(&mut usual);
-            answer(call, &news);
-            agent.call();
-            left
+    gate.close();
+    let changes = node_list(3, false, &[ready]);
+    let open_connection = match first {
+        FirstEvent::Disconnect => {
+            let open_connection = disconnect.apply(leaving.stream);
+            wait_until("the disconnect is noticed", || host.client_count() == 1);
+            wait_for_reader(&mut staying);
+            respond_to(call, &changes);
+            agent.next_call();
+            open_connection
         }
-        First::List => {
-            answer(call, &news);
-            agent.call();
-            let left = departure.leave(leaver.stream);
-            until("it is seen to have left", || host.clients() == 1);
-            left
+        FirstEvent::NodeList => {
+            respond_to(call, &changes);
+            agent.next_call();
+            let open_connection = disconnect.apply(leaving.stream);
+            wait_until("the disconnect is noticed", || host.client_count() == 1);
+            open_connection
         }
     };
-    gate.held();
-    std::thread::sleep(wait.over_after);
-    let before = heard_of(&heard, LEAVER);
+    gate.wait_until_blocked();
+    std::thread::sleep(wait.longer_than_wait);
+    let before = count_received(&received, DISCONNECTING_ID);
     gate.open();
-    get(&mut usual, USUAL, UNLIMITED, 1);
-    assert_eq!(usual.served(), Some(USUAL));
-    std::thread::sleep(WATCHED);
+    send_read(&mut staying, STAYING_ID, UNLIMITED, 1);
+    assert_eq!(staying.served_id(), Some(STAYING_ID));
+    std::thread::sleep(WATCH_TIME);
     assert_eq!(
-        heard_of(&heard, LEAVER),
+        count_received(&received, DISCONNECTING_ID),
         before,
-        "{departure:?}, {first:?}: begun for a client that had left"
+        "{disconnect:?}, {first:?}: sent for a disconnected client"
     );
-    drop(left);
+    drop(open_connection);
 }
 
-/// A node that turned an attempt away is left alone for a moment, and the retry waits for the end of it.
+/// A node that rejected an attempt is in backoff for a moment, and the retry waits for its end.
 const RETRY: Wait = Wait {
     settings: |_| {},
     units: 1,
-    turned_away: true,
+    rejected: true,
     cold: false,
-    over_after: Duration::from_millis(500),
+    longer_than_wait: Duration::from_millis(500),
 };
 
 #[test]
-fn a_retry_that_waits_for_its_pause_is_not_begun_after_its_client_left() {
-    for departure in Departure::ALL {
-        nothing_is_begun_behind(&RETRY, departure, First::List);
+fn a_retry_in_backoff_is_not_sent_after_a_disconnect() {
+    for disconnect in Disconnect::ALL {
+        check_nothing_sent_after(&RETRY, disconnect, FirstEvent::NodeList);
     }
-    nothing_is_begun_behind(&RETRY, Departure::Close, First::Departure);
+    check_nothing_sent_after(&RETRY, Disconnect::Close, FirstEvent::Disconnect);
 }
 
-/// The host's part of a volume's limit grows from nothing: 1.5 s for the one unit asked for.
+/// The host's share of the volume's limit starts at zero and takes 1.5 s to reach the one unit of the
+/// request.
 const LIMIT: Wait = Wait {
     settings: |s| {
         s["Plans"][0]["Cap"] = json!(0.75);
         s["Plans"][0]["Burst"] = json!(2.0);
     },
     units: 1,
-    turned_away: false,
+    rejected: false,
     cold: false,
-    over_after: Duration::from_millis(2_000),
+    longer_than_wait: Duration::from_millis(2_000),
 };
 
 #[test]
-fn what_waits_for_its_volumes_limit_is_not_begun_after_its_client_left() {
-    nothing_is_begun_behind(&LIMIT, Departure::Close, First::List);
-    nothing_is_begun_behind(&LIMIT, Departure::Reset, First::Departure);
+fn a_request_held_by_its_volume_limit_is_not_sent_after_a_disconnect() {
+    check_nothing_sent_after(&LIMIT, Disconnect::Close, FirstEvent::NodeList);
+    check_nothing_sent_after(&LIMIT, Disconnect::Reset, FirstEvent::Disconnect);
 }
 
-/// The host's part of what a cold node bears: 2 units at the start, of which the usual client has one, and a part of one by
-/// chance; then 1 unit a second.
+/// The host's share of what a cold node accepts: 2 units at the start, of which the other client uses one and
+/// a random part of another; then 1 unit per second.
 const COLD: Wait = Wait {
     settings: |s| {
         s["Domain"]["ColdUnits"] = json!(13.34);
         s["Domain"]["MeanUnits"] = json!(1.0);
     },
     units: 4,
-    turned_away: false,
+    rejected: false,
     cold: true,
-    over_after: Duration::from_millis(3_500),
+    longer_than_wait: Duration::from_millis(3_500),
 };
 
 #[test]
-fn what_waits_for_a_cold_node_is_not_begun_after_its_client_left() {
-    nothing_is_begun_behind(&COLD, Departure::Close, First::List);
-    nothing_is_begun_behind(&COLD, Departure::EndSending, First::Departure);
+fn a_request_waiting_for_a_cold_node_is_not_sent_after_a_disconnect() {
+    check_nothing_sent_after(&COLD, Disconnect::Close, FirstEvent::NodeList);
+    check_nothing_sent_after(&COLD, Disconnect::ShutdownWrite, FirstEvent::Disconnect);
 }
 
-/// The first attempt ends with its connection; the next waits for a connection, whose coming up stands in the engine's queue
-/// before the word that the client left.
+/// The first attempt ends with its connection. The retry waits for a link whose opening is in the engine's
+/// queue before the disconnect of the client.
 #[test]
-fn a_further_attempt_whose_connection_comes_up_after_its_client_left_is_not_written() {
-    for departure in Departure::ALL {
-        let mut node = LateNode::new();
-        let agent = Agent::new();
-        let (host, address, gate) = host_held(&patient(agent.address, &[node.address()]), Point::EngineTakes);
-        let mut usual = connected(address);
-        let mut leaver = connected(address);
-        get(&mut leaver, LEAVER, UNLIMITED, 1);
+fn a_retry_whose_link_opens_after_a_disconnect_is_not_written() {
+    for disconnect in Disconnect::ALL {
+        let mut node = GatedNode::new();
+        let agent = ManualAgent::new();
+        let (host, address, gate) =
+            start_host_with_gate(&long_timeouts(agent.address, &[node.address()]), Point::EngineReceive);
+        let mut staying = connect_and_ping(address);
+        let mut leaving = connect_and_ping(address);
+        send_read(&mut leaving, DISCONNECTING_ID, UNLIMITED, 1);
         let mut first = node.accept();
         read_command(&mut first);
-        node.hold_up();
+        node.block_connects();
         reset(first);
-        // The word of the reset goes through the engine, which begins to connect once more.
-        std::thread::sleep(WATCHED);
-        is_open(&mut usual, LEAVER);
-        gate.shut();
-        node.let_up();
+        // The engine handles the reset and starts to connect again.
+        std::thread::sleep(WATCH_TIME);
+        assert_open(&mut staying, DISCONNECTING_ID);
+        gate.close();
+        node.allow_connects();
         let mut second = node.accept();
-        gate.held();
-        let left = departure.leave(leaver.stream);
-        until("it is seen to have left", || host.clients() == 1);
+        gate.wait_until_blocked();
+        let open_connection = disconnect.apply(leaving.stream);
+        wait_until("the disconnect is noticed", || host.client_count() == 1);
         gate.open();
-        assert!(is_silent(&mut second), "{departure:?}: written though its client had left");
-        drop(left);
+        assert!(is_silent(&mut second), "{disconnect:?}: written for a disconnected client");
+        drop(open_connection);
     }
 }
 
-/// All that comes on a connection up to its end.
+/// Reads all data up to the end of a connection.
 fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
-    let mut got = Vec::new();
-    let mut piece = [0; 4096];
+    let mut received_bytes = Vec::new();
+    let mut chunk = [0; 4096];
     loop {
-        match stream.read(&mut piece) {
-            Ok(0) => return got,
-            Ok(n) => got.extend_from_slice(&piece[..n]),
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => return got,
-            Err(e) => panic!("no end behind {} bytes: {e}", got.len()),
+        match stream.read(&mut chunk) {
+            Ok(0) => return received_bytes,
+            Ok(n) => received_bytes.extend_from_slice(&chunk[..n]),
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => return received_bytes,
+            Err(e) => panic!("no end after {} bytes: {e}", received_bytes.len()),
         }
     }
 }
@@ -276,221 +291,230 @@
     CommandDecoder::new(CommandLimits { args: 8, arg_bytes: 1 << 17, total_bytes: 1 << 18 })
 }
 
-/// Reads one whole command; nothing may stand behind it.
-fn read_one(stream: &mut TcpStream, begun: &[u8]) -> Vec<Bytes> {
+/// Reads one complete command, which no other may follow.
+fn read_one(stream: &mut TcpStream, first_part: &[u8]) -> Vec<Bytes> {
     let mut commands = commands();
-    commands.buffer().extend_from_slice(begun);
-    let mut piece = [0; 4096];
+    commands.buffer().extend_from_slice(first_part);
+    let mut chunk = [0; 4096];
     loop {
         if let Some(command) = commands.next_command().unwrap() {
-            assert!(!commands.has_partial(), "another stands behind it");
+            assert!(!commands.has_partial(), "another command follows");
             return command;
         }
-        let n = stream.read(&mut piece).unwrap();
-        assert!(n > 0, "it ends within a command");
-        commands.buffer().extend_from_slice(&piece[..n]);
+        let n = stream.read(&mut chunk).unwrap();
+        assert!(n > 0, "the connection ended within a command");
+        commands.buffer().extend_from_slice(&chunk[..n]);
     }
 }
 
 fn first_bytes(stream: &mut TcpStream) -> [u8; 64] {
-    let mut begun = [0; 64];
-    stream.read_exact(&mut begun).unwrap();
-    begun
+    let mut first_part = [0; 64];
+    stream.read_exact(&mut first_part).unwrap();
+    first_part
 }
 
 #[test]
-fn a_command_partly_written_for_a_client_that_left_is_never_completed() {
-    for departure in Departure::ALL {
-        let node = LateNode::new();
-        node.small_window();
-        let agent = Agent::new();
-        let (host, address) = host_with_small_buffers(&patient(agent.address, &[node.address()]));
-        let mut usual = connected(address);
-        let mut leaver = connected(address);
-        put(&mut leaver, LEAVER);
+fn a_partly_written_command_is_not_completed_after_a_disconnect() {
+    for disconnect in Disconnect::ALL {
+        let node = GatedNode::new();
+        node.limit_receive_buffers();
+        let agent = ManualAgent::new();
+        let (host, address) = start_host_with_small_buffers(&long_timeouts(agent.address, &[node.address()]));
+        let mut staying = connect_and_ping(address);
+        let mut leaving = connect_and_ping(address);
+        send_large_write(&mut leaving, DISCONNECTING_ID);
         let mut stream = node.accept();
-        let mut got = first_bytes(&mut stream).to_vec();
-        let left = departure.leave(leaver.stream);
-        until("it is seen to have left", || host.clients() == 1);
-        // Served behind the departure: the engine has taken that.
-        get(&mut usual, USUAL, UNLIMITED, 1);
+        let mut received_bytes = first_bytes(&mut stream).to_vec();
+        let open_connection = disconnect.apply(leaving.stream);
+        wait_until("the disconnect is noticed", || host.client_count() == 1);
+        // Served after the disconnect, so the engine has handled that.
+        send_read(&mut staying, STAYING_ID, UNLIMITED, 1);
         let mut other = node.accept();
-        let asked = read_one(&mut other, &[]);
-        other.write_all(&value(&asked)).unwrap();
-        assert_eq!(usual.served(), Some(USUAL));
-        got.extend(read_to_end(&mut stream));
+        let command = read_one(&mut other, &[]);
+        other.write_all(&value_reply(&command)).unwrap();
+        assert_eq!(staying.served_id(), Some(STAYING_ID));
+        received_bytes.extend(read_to_end(&mut stream));
         let mut commands = commands();
-        commands.buffer().extend_from_slice(&got);
-        assert!(commands.next_command().unwrap().is_none(), "{departure:?}: completed, {} bytes", got.len());
-        drop(left);
+        commands.buffer().extend_from_slice(&received_bytes);
+        assert!(
+            commands.next_command().unwrap().is_none(),
+            "{disconnect:?}: completed, {} bytes",
+            received_bytes.len()
+        );
+        drop(open_connection);
     }
 }
 
-/// With no descriptor left a command goes behind others on their connection. One that has not begun is taken out from
-/// behind one that has, which goes on.
+/// Without free descriptors a command shares a connection with others. A command of which nothing was sent is
+/// removed from behind one that was sent in part and continues.
 #[test]
-fn a_command_that_waits_behind_another_is_never_written_after_its_client_left() {
-    for departure in Departure::ALL {
-        let node = LateNode::new();
-        node.small_window();
-        let agent = Agent::new();
-        let mut config = patient(agent.address, &[node.address()]);
-        // Room for three connections of clients and two to nodes.
+fn a_command_queued_behind_another_is_not_written_after_a_disconnect() {
+    for disconnect in Disconnect::ALL {
+        let node = GatedNode::new();
+        node.limit_receive_buffers();
+        let agent = ManualAgent::new();
+        let mut config = long_timeouts(agent.address, &[node.address()]);
+        // Room for three client connections and two links to nodes.
         config["limits"]["sockets"] = json!(29);
-        let (host, address) = host_with_small_buffers(&config);
-        let mut stays = connected(address);
-        let mut marker = connected(address);
-        let mut leaver = connected(address);
-        put(&mut stays, 1);
-        put(&mut stays, 2);
+        let (host, address) = start_host_with_small_buffers(&config);
+        let mut staying = connect_and_ping(address);
+        let mut marker = connect_and_ping(address);
+        let mut leaving = connect_and_ping(address);
+        send_large_write(&mut staying, 1);
+        send_large_write(&mut staying, 2);
         let mut streams = [node.accept(), node.accept()];
-        let begun = streams.each_mut().map(first_bytes);
-        // Read in one piece: the reader is past it when it answers the next client.
-        get(&mut leaver, LEAVER, UNLIMITED, 1);
-        reader_is_past(&mut marker);
-        is_open(&mut marker, LEAVER);
-        let left = departure.leave(leaver.stream);
-        until("it is seen to have left", || host.clients() == 2);
-        reader_is_past(&mut marker);
-        is_open(&mut marker, 1);
-        for (stream, begun) in streams.iter_mut().zip(begun) {
-            let command = read_one(stream, &begun);
-            stream.write_all(&value(&command)).unwrap();
+        let first_part = streams.each_mut().map(first_bytes);
+        // The command is read in one piece, so the reader has handled it when it answers the next client.
+        send_read(&mut leaving, DISCONNECTING_ID, UNLIMITED, 1);
+        wait_for_reader(&mut marker);
+        assert_open(&mut marker, DISCONNECTING_ID);
+        let open_connection = disconnect.apply(leaving.stream);
+        wait_until("the disconnect is noticed", || host.client_count() == 2);
+        wait_for_reader(&mut marker);
+        assert_open(&mut marker, 1);
+        for (stream, first_part) in streams.iter_mut().zip(first_part) {
+            let command = read_one(stream, &first_part);
+            stream.write_all(&value_reply(&command)).unwrap();
         }
-        assert_eq!((stays.served(), stays.served()), (Some(1), Some(2)));
+        assert_eq!((staying.served_id(), staying.served_id()), (Some(1), Some(2)));
         for stream in &mut streams {
-            assert!(is_silent(stream), "{departure:?}: written for a client that had left");
+            assert!(is_silent(stream), "{disconnect:?}: written for a disconnected client");
         }
-        drop(left);
+        drop(open_connection);
     }
 }
 
-/// Clients of a crowd, and the requests of each.
-const CROWD: u64 = 150;
-const REQUESTS_EACH: u64 = 2;
+/// Number of clients that disconnect together, and the number of requests of each.
+const CLIENTS: u64 = 150;
+const REQUESTS_PER_CLIENT: u64 = 2;
 
-/// A part of the crowd comes: each connects and sends its requests, under ids of its own.
-fn come(address: SocketAddr, members: std::ops::Range<u64>) -> Vec<Client> {
-    let one = |member: u64| {
-        let mut client = connected(address);
-        ask_all(&mut client, member);
+/// Connects some of the clients, each of which sends its requests with ids of its own.
+fn connect_clients(address: SocketAddr, numbers: std::ops::Range<u64>) -> Vec<Client> {
+    let connect = |number: u64| {
+        let mut client = connect_and_ping(address);
+        send_all(&mut client, number);
         client
     };
-    members.map(one).collect()
+    numbers.map(connect).collect()
 }
 
-fn ask_all(client: &mut Client, member: u64) {
-    for request in 0..REQUESTS_EACH {
-        get(client, 1 + member * REQUESTS_EACH + request, UNLIMITED, 1);
+fn send_all(client: &mut Client, number: u64) {
+    for request in 0..REQUESTS_PER_CLIENT {
+        send_read(client, 1 + number * REQUESTS_PER_CLIENT + request, UNLIMITED, 1);
     }
 }
 
-/// All leave, each in its own way; what is left of their connections.
-fn leave_all(crowd: Vec<Client>) -> Vec<Option<TcpStream>> {
-    let ways = Departure::ALL.into_iter().cycle();
-    crowd.into_iter().zip(ways).map(|(client, way)| way.leave(client.stream)).collect()
+/// Disconnects all clients in alternating ways. Returns the connections that stay open.
+fn disconnect_all(clients: Vec<Client>) -> Vec<Option<TcpStream>> {
+    let kinds = Disconnect::ALL.into_iter().cycle();
+    clients.into_iter().zip(kinds).map(|(client, kind)| kind.apply(client.stream)).collect()
 }
 
-/// Commands that were not of the usual client.
-fn theirs(heard: &Heard) -> usize {
-    heard.lock().unwrap().iter().filter(|c| !is_of(c, USUAL)).count()
+/// Number of commands that do not belong to the client that stays.
+fn received_from_others(received: &ReceivedCommands) -> usize {
+    received.lock().unwrap().iter().filter(|c| !has_id(c, STAYING_ID)).count()
 }
 
-/// Asks until it is served: a node that was silent is tried a little at a time.
-fn usual_is_served(usual: &mut Client) {
-    until("a usual client is served", || {
-        get(usual, USUAL, UNLIMITED, 1);
-        usual.served() == Some(USUAL)
+/// Sends requests until one is served, since a node that was silent is first given few attempts.
+fn wait_until_served(staying: &mut Client) {
+    wait_until("the staying client is served", || {
+        send_read(staying, STAYING_ID, UNLIMITED, 1);
+        staying.served_id() == Some(STAYING_ID)
     });
 }
 
-/// Three hundred requests of clients that leave at once: some have an attempt out, some wait for one, and some stand in the
-/// engine's queue, before answers at which the next would begin, and before the word of any departure.
+/// Three hundred requests of clients that disconnect at once. Some have an attempt in flight, some wait for
+/// one, and some are in the engine's queue, before replies that would start the next attempt and before all
+/// disconnects.
 #[test]
-fn a_crowd_that_leaves_at_once_has_nothing_begun_wherever_its_requests_wait() {
-    let answers = Gate::default();
-    answers.shut();
-    let held = answers.clone();
-    let (node, heard) = node(move |_, c| {
-        held.pass();
-        Reaction::Say(value(c))
+fn nothing_is_sent_after_many_clients_disconnect_at_once() {
+    let reply_gate = Gate::default();
+    reply_gate.close();
+    let blocking = reply_gate.clone();
+    let (node, received) = fake_node(move |_, c| {
+        blocking.pass();
+        Reaction::Reply(value_reply(c))
     });
-    let told = discovery(1, &[node]);
-    let mut config = patient(told.address(), &[node]);
+    let agent = fake_discovery(1, &[node]);
+    let mut config = long_timeouts(agent.address(), &[node]);
     config["limits"]["sockets"] = json!(1024);
-    let (host, address, gate) = host_held(&config, Point::EngineTakes);
-    let mut usual = connected(address);
-    reader_is_past(&mut usual);
-    let mut crowd = come(address, 0..CROWD / 3);
-    until("the first are there", || host.clients() as u64 == 1 + CROWD / 3);
-    reader_is_past(&mut usual);
-    answers.held();
-    is_open(&mut usual, CROWD / 3 * REQUESTS_EACH);
-    gate.shut();
-    crowd.extend(come(address, CROWD / 3..CROWD));
-    until("all are there", || host.clients() as u64 == 1 + CROWD);
-    reader_is_past(&mut usual);
-    // What is out is answered, which the engine has not taken.
-    answers.open();
-    std::thread::sleep(WATCHED);
-    let left = leave_all(crowd);
-    until("they are seen to have left", || host.clients() == 1);
-    let before = theirs(&heard);
-    assert!(before > 0 && (before as u64) < CROWD / 3 * REQUESTS_EACH, "{before}: some wait for an attempt");
+    let (host, address, gate) = start_host_with_gate(&config, Point::EngineReceive);
+    let mut staying = connect_and_ping(address);
+    wait_for_reader(&mut staying);
+    let mut clients = connect_clients(address, 0..CLIENTS / 3);
+    wait_until("the first clients are connected", || host.client_count() as u64 == 1 + CLIENTS / 3);
+    wait_for_reader(&mut staying);
+    reply_gate.wait_until_blocked();
+    assert_open(&mut staying, CLIENTS / 3 * REQUESTS_PER_CLIENT);
+    gate.close();
+    clients.extend(connect_clients(address, CLIENTS / 3..CLIENTS));
+    wait_until("all clients are connected", || host.client_count() as u64 == 1 + CLIENTS);
+    wait_for_reader(&mut staying);
+    // The commands in flight are answered, but the engine does not handle the replies yet.
+    reply_gate.open();
+    std::thread::sleep(WATCH_TIME);
+    let open_connection = disconnect_all(clients);
+    wait_until("the disconnects are noticed", || host.client_count() == 1);
+    let before = received_from_others(&received);
+    assert!(
+        before > 0 && (before as u64) < CLIENTS / 3 * REQUESTS_PER_CLIENT,
+        "{before} sent: no request waits for an attempt"
+    );
     gate.open();
-    usual_is_served(&mut usual);
-    std::thread::sleep(WATCHED);
-    assert_eq!(theirs(&heard), before, "begun for clients that had left");
-    drop(left);
+    wait_until_served(&mut staying);
+    std::thread::sleep(WATCH_TIME);
+    assert_eq!(received_from_others(&received), before, "sent for disconnected clients");
+    drop(open_connection);
 }
 
-/// The requests and the ends of their connections stand in the sockets when the reader comes by: it reads the requests first.
+/// The requests and the ends of their connections are in the sockets when the client reader polls; it reads
+/// the requests first.
 #[test]
-fn a_crowd_whose_ends_stand_behind_its_unread_requests_has_nothing_begun() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let mut config = patient(told.address(), &[node]);
+fn nothing_is_sent_for_unread_requests_of_clients_that_disconnected() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let mut config = long_timeouts(agent.address(), &[node]);
     config["limits"]["sockets"] = json!(1024);
-    let (host, address, gate) = host_held(&config, Point::ReaderLooks);
-    let mut usual = connected(address);
-    // A connection to the node rests: what is begun goes out at once.
-    usual_is_served(&mut usual);
-    let mut crowd: Vec<Client> = (0..CROWD).map(|_| connected(address)).collect();
-    until("all are there", || host.clients() as u64 == 1 + CROWD);
-    gate.shut();
-    gate.held();
-    for (member, client) in crowd.iter_mut().enumerate() {
-        ask_all(client, member as u64);
+    let (host, address, gate) = start_host_with_gate(&config, Point::ReaderPoll);
+    let mut staying = connect_and_ping(address);
+    // An idle link to the node exists, so an attempt is sent at once.
+    wait_until_served(&mut staying);
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| connect_and_ping(address)).collect();
+    wait_until("all clients are connected", || host.client_count() as u64 == 1 + CLIENTS);
+    gate.close();
+    gate.wait_until_blocked();
+    for (number, client) in clients.iter_mut().enumerate() {
+        send_all(client, number as u64);
     }
-    let left = leave_all(crowd);
+    let open_connection = disconnect_all(clients);
     gate.open();
-    until("they are seen to have left", || host.clients() == 1);
-    usual_is_served(&mut usual);
-    std::thread::sleep(WATCHED);
-    assert_eq!(theirs(&heard), 0, "begun for clients that had left");
-    drop(left);
+    wait_until("the disconnects are noticed", || host.client_count() == 1);
+    wait_until_served(&mut staying);
+    std::thread::sleep(WATCH_TIME);
+    assert_eq!(received_from_others(&received), 0, "sent for disconnected clients");
+    drop(open_connection);
 }
 
-/// Danger: connections that are over still hold descriptors while their requests wait in the engine's queue. Newcomers in their
-/// places would take those that are kept for nodes and discovery.
+/// Guards against counting only open connections: closed ones still hold descriptors while their requests are
+/// in the engine's queue, and new connections would take the descriptors reserved for nodes and discovery.
 #[test]
-fn a_newcomer_waits_until_the_descriptors_of_clients_that_left_are_closed() {
-    let (node, _) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let mut config = patient(told.address(), &[node]);
-    // Room for 25 connections of clients.
+fn a_new_connection_waits_until_descriptors_of_closed_ones_are_free() {
+    let (node, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let mut config = long_timeouts(agent.address(), &[node]);
+    // Room for 25 client connections.
     config["limits"]["sockets"] = json!(64);
-    let (host, address, gate) = host_held(&config, Point::EngineTakes);
-    gate.shut();
-    let leaving: Vec<Client> = come(address, 0..25);
-    until("all are there", || host.clients() == 25);
-    gate.held();
+    let (host, address, gate) = start_host_with_gate(&config, Point::EngineReceive);
+    gate.close();
+    let leaving: Vec<Client> = connect_clients(address, 0..25);
+    wait_until("all clients are connected", || host.client_count() == 25);
+    gate.wait_until_blocked();
     drop(leaving);
-    until("they are seen to have left", || host.clients() == 0);
-    let mut newcomer = Client::connect(address);
-    newcomer.send(&["PING"]);
-    assert!(is_silent(&mut newcomer.stream), "taken while the descriptors of 25 others are open");
+    wait_until("the disconnects are noticed", || host.client_count() == 0);
+    let mut new_client = Client::connect(address);
+    new_client.send(&["PING"]);
+    assert!(is_silent(&mut new_client.stream), "accepted while the descriptors of 25 others are open");
     gate.open();
-    newcomer.stream.set_read_timeout(Some(LONG)).unwrap();
-    assert!(newcomer.reply().is_some());
+    new_client.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    assert!(new_client.reply().is_some());
 }
--- a/crates/serving/tests/races/discovery_responses.rs
+++ b/crates/serving/tests/races/discovery_responses.rs
@@ -1,136 +1,141 @@
-//! The watch at discovery, and what crosses it: resets, trickles, another address, versions that go back.
+//! Races of the discovery watch: resets, slow bodies, another address, versions that go back.
 
-use crate::common::{config, host_of, is_error, node, until, value, Client, Reaction};
-use crate::ordering::{answer, line, list, reset, Agent};
+use crate::common::{
+    config, fake_node, is_error, start_host_with, value_reply, wait_until, Client, Reaction,
+};
+use crate::ordering::{node_entry, node_list, reset, respond_to, ManualAgent};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-fn sound() -> SocketAddr {
-    node(|_, c| Reaction::Say(value(c))).0
+fn working_node() -> SocketAddr {
+    fake_node(|_, c| Reaction::Reply(value_reply(c))).0
 }
 
-/// Asks until the node at hand serves, or until none does.
-fn serves(address: SocketAddr, wanted: bool) {
+/// Sends requests until one is served, or until none is.
+fn wait_until_serving(address: SocketAddr, expected: bool) {
     let mut client = Client::connect(address);
     let mut id = 0;
-    until("the list is in force", || {
+    wait_until("the list takes effect", || {
         id += 1;
-        client.read_of(id, 0, 200);
-        (client.served() == Some(id)) == wanted
+        client.send_read_with(id, 0, 200);
+        (client.served_id() == Some(id)) == expected
     });
 }
 
-fn no_length(stream: &mut TcpStream, text: &str) {
+fn respond_without_length(stream: &mut TcpStream, text: &str) {
     stream.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).unwrap();
 }
 
-/// Danger: a list cut off by a reset may read like a whole one, and its nodes are gone.
+/// Guards against a list cut off by a reset that parses as a full list, whose missing nodes would count as
+/// gone.
 #[test]
-fn a_list_without_a_length_counts_at_an_orderly_end_and_not_at_a_reset() {
-    let agent = Agent::new();
-    let node = sound();
-    let (_host, address) = host_of(&config(agent.address, &[node]));
-    let (_, mut stream) = agent.call();
-    no_length(&mut stream, &list(7, true, &[]));
+fn a_list_without_a_length_is_accepted_at_a_close_but_not_at_a_reset() {
+    let agent = ManualAgent::new();
+    let node = working_node();
+    let (_host, address) = start_host_with(&config(agent.address, &[node]));
+    let (_, mut stream) = agent.next_call();
+    respond_without_length(&mut stream, &node_list(7, true, &[]));
     reset(stream);
-    let (path, mut stream) = agent.call();
-    assert_eq!(path, "/discovery/hosts", "nothing was told yet");
-    serves(address, true);
-    // Indented, and whole at its end.
-    no_length(&mut stream, "{\n  \"seq\": 8,\n  \"whole\": true,\n  \"hosts\": []\n}\n");
+    let (path, mut stream) = agent.next_call();
+    assert_eq!(path, "/discovery/hosts", "no list was accepted yet");
+    wait_until_serving(address, true);
+    // Indented, and complete at the end of the connection.
+    respond_without_length(&mut stream, "{\n  \"seq\": 8,\n  \"whole\": true,\n  \"hosts\": []\n}\n");
     drop(stream);
-    let (path, _held) = agent.call();
+    let (path, _held) = agent.next_call();
     assert!(path.starts_with("/discovery/hosts?since=8&"), "{path}");
-    serves(address, false);
+    wait_until_serving(address, false);
 }
 
-/// Danger: a body that trickles holds the watch for ever, and all that is told meanwhile is missed.
+/// Guards against a body that arrives byte by byte blocking the watch, which would miss all changes in the
+/// meantime.
 #[test]
-fn a_list_that_trickles_is_given_up_and_asked_for_anew() {
-    let agent = Agent::new();
-    let (_host, _) = host_of(&config(agent.address, &[]));
-    let (_, mut stream) = agent.call();
-    let over = Arc::new(AtomicBool::new(false));
-    let stop = over.clone();
+fn a_trickling_list_is_abandoned_and_requested_again() {
+    let agent = ManualAgent::new();
+    let (_host, _) = start_host_with(&config(agent.address, &[]));
+    let (_, mut stream) = agent.next_call();
+    let is_done = Arc::new(AtomicBool::new(false));
+    let stop = is_done.clone();
     let trickle = std::thread::spawn(move || {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{");
         while !stop.load(Ordering::SeqCst) && stream.write_all(b" ").is_ok() {
             std::thread::sleep(Duration::from_millis(20));
         }
     });
-    let (path, _held) = agent.call();
+    let (path, _held) = agent.next_call();
     assert_eq!(path, "/discovery/hosts");
-    over.store(true, Ordering::SeqCst);
+    is_done.store(true, Ordering::SeqCst);
     trickle.join().unwrap();
 }
 
-/// Danger: versions are an agent's own; a call under way at the old one is answered after the new one's.
+/// Guards against mixing versions of two agents: a call in progress at the old address is answered after the
+/// new agent.
 #[test]
-fn at_a_new_address_the_whole_list_comes_first_and_the_old_agent_s_answer_counts_for_nothing() {
-    let (old, new) = (Agent::new(), Agent::new());
-    let node = sound();
-    let (host, address) = host_of(&config(old.address, &[node]));
-    old.tell(&list(90, true, &[line(node, "SERVING", 0)]));
-    let (path, under_way) = old.call();
+fn after_an_address_change_the_old_agents_response_is_ignored() {
+    let (old, new) = (ManualAgent::new(), ManualAgent::new());
+    let node = working_node();
+    let (host, address) = start_host_with(&config(old.address, &[node]));
+    old.respond(&node_list(90, true, &[node_entry(node, "SERVING", 0)]));
+    let (path, call_in_progress) = old.next_call();
     assert!(path.contains("since=90"), "{path}");
     host.set_discovery_address(new.address);
-    assert_eq!(new.tell(&list(3, true, &[line(node, "SERVING", 0)])), "/discovery/hosts");
-    let (path, _held) = new.call();
+    assert_eq!(new.respond(&node_list(3, true, &[node_entry(node, "SERVING", 0)])), "/discovery/hosts");
+    let (path, _held) = new.next_call();
     assert!(path.contains("since=3&"), "{path}");
-    answer(under_way, &list(91, true, &[]));
-    serves(address, true);
+    respond_to(call_in_progress, &node_list(91, true, &[]));
+    wait_until_serving(address, true);
     for _ in 0..20 {
-        serves(address, true);
+        wait_until_serving(address, true);
     }
 }
 
-/// An agent that began anew has lower versions: its whole list counts, its changes alone do not.
+/// An agent that restarted has lower versions: its full list is valid, changes alone are not.
 #[test]
-fn a_version_that_goes_back_is_followed_by_the_whole_list() {
-    let agent = Agent::new();
-    let node = sound();
-    let (_host, address) = host_of(&config(agent.address, &[node]));
-    agent.tell(&list(41, true, &[line(node, "SERVING", 0)]));
-    assert!(agent.tell(&list(5, false, &[line(node, "DELETED", 0)])).contains("since=41"));
-    assert_eq!(agent.tell(&list(6, true, &[line(node, "SERVING", 0)])), "/discovery/hosts");
-    assert!(agent.call().0.contains("since=6"));
-    serves(address, true);
+fn an_older_version_is_followed_by_a_request_for_the_full_list() {
+    let agent = ManualAgent::new();
+    let node = working_node();
+    let (_host, address) = start_host_with(&config(agent.address, &[node]));
+    agent.respond(&node_list(41, true, &[node_entry(node, "SERVING", 0)]));
+    assert!(agent.respond(&node_list(5, false, &[node_entry(node, "DELETED", 0)])).contains("since=41"));
+    assert_eq!(agent.respond(&node_list(6, true, &[node_entry(node, "SERVING", 0)])), "/discovery/hosts");
+    assert!(agent.next_call().0.contains("since=6"));
+    wait_until_serving(address, true);
 }
 
-/// An agent that takes calls and says nothing is asked again; what it says then counts.
+/// An agent that accepts calls without answering is called again, and its next response is applied.
 #[test]
-fn a_silent_agent_is_asked_again_and_heard_when_it_is_back() {
-    let agent = Agent::new();
-    let node = sound();
-    let (_host, address) = host_of(&config(agent.address, &[node]));
-    let held: Vec<_> = (0..3).map(|_| agent.call()).collect();
-    serves(address, true);
-    agent.tell(&list(2, true, &[]));
-    let (_, _next) = agent.call();
+fn a_silent_agent_is_called_again() {
+    let agent = ManualAgent::new();
+    let node = working_node();
+    let (_host, address) = start_host_with(&config(agent.address, &[node]));
+    let held: Vec<_> = (0..3).map(|_| agent.next_call()).collect();
+    wait_until_serving(address, true);
+    agent.respond(&node_list(2, true, &[]));
+    let (_, _next) = agent.next_call();
     let mut client = Client::connect(address);
-    client.read_of(1, 0, 200);
+    client.send_read_with(1, 0, 200);
     assert!(is_error(&client.reply(), "BUSY"));
     drop(held);
 }
 
-/// Repeats, a change for an unknown node, a node deleted and back under its name.
+/// Repeated changes, a change of an unknown node, and a node that is deleted and returns under its name.
 #[test]
-fn changes_that_come_twice_or_of_unknown_nodes_are_harmless() {
-    let agent = Agent::new();
-    let node = sound();
-    let (_host, address) = host_of(&config(agent.address, &[node]));
-    agent.tell(&list(2, true, &[line(node, "SERVING", 0)]));
-    let gone = list(3, false, &[line(node, "DELETED", 0)]);
-    agent.tell(&gone);
-    agent.tell(&gone);
+fn repeated_changes_and_changes_of_unknown_nodes_are_harmless() {
+    let agent = ManualAgent::new();
+    let node = working_node();
+    let (_host, address) = start_host_with(&config(agent.address, &[node]));
+    agent.respond(&node_list(2, true, &[node_entry(node, "SERVING", 0)]));
+    let gone = node_list(3, false, &[node_entry(node, "DELETED", 0)]);
+    agent.respond(&gone);
+    agent.respond(&gone);
     let unknown =
         r#"{"host":"s-x","dial":"127.0.0.1:9","site":"z","block":1,"health":"DELETED","born_ms":0}"#;
-    agent.tell(&list(4, false, &[unknown.to_owned()]));
-    agent.tell(&list(5, false, &[line(node, "SERVING", 1)]));
-    let (path, _held) = agent.call();
+    agent.respond(&node_list(4, false, &[unknown.to_owned()]));
+    agent.respond(&node_list(5, false, &[node_entry(node, "SERVING", 1)]));
+    let (path, _held) = agent.next_call();
     assert!(path.contains("since=5"), "{path}");
-    serves(address, true);
+    wait_until_serving(address, true);
 }
--- a/crates/serving/tests/races/main.rs
+++ b/crates/serving/tests/races/main.rs
@@ -1,7 +1,7 @@
-//! Where two events cross, with the crossing forced: a host is held at a named point, a node or an agent answers by hand, a
-//! connection comes up when the test lets it.
+//! Races between two events, in an order that the test forces: the host blocks at a hook, the test writes the
+//! responses of a node or a discovery agent itself, and a connection opens when the test lets it.
 
-#[allow(dead_code, reason = "what the tests of a whole host share")]
+#[allow(dead_code, reason = "shared by several test binaries")]
 #[path = "../common/mod.rs"]
 mod common;
 mod ordering;
--- a/crates/serving/tests/races/ordering.rs
+++ b/crates/serving/tests/races/ordering.rs
@@ -1,4 +1,5 @@
-//! What forces the order of two events: gates, a host held at a point, nodes and agents that answer by hand.
+//! Tools to force the order of two events: gates, hosts that block at a hook, and nodes and discovery agents
+//! that the test controls.
 
 use pearfork_platform::config::Config;
 use pearfork_serving::{Point, Service};
@@ -9,15 +10,15 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest wait of a test for what has to come.
-pub const LONG: Duration = Duration::from_secs(10);
+/// Maximum time a test waits for an expected event.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Shut or open; whoever comes by waits while it is shut.
+/// Blocks threads that pass it while it is closed.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<(bool, usize)>, Condvar)>);
 
 impl Gate {
-    pub fn shut(&self) {
+    pub fn close(&self) {
         self.0 .0.lock().unwrap().0 = true;
     }
 
@@ -26,13 +27,14 @@
         self.0 .1.notify_all();
     }
 
-    /// Waits at it. A test that failed must not leave a thread here for ever.
+    /// Blocks while the gate is closed, for a limited time so that a failed test does not leave a thread
+    /// behind.
     pub fn pass(&self) {
         let mut state = self.0 .0.lock().unwrap();
         state.1 += 1;
         self.0 .1.notify_all();
         while state.0 {
-            let (next, waited) = self.0 .1.wait_timeout(state, LONG * 3).unwrap();
+            let (next, waited) = self.0 .1.wait_timeout(state, TIMEOUT * 3).unwrap();
             state = next;
             if waited.timed_out() {
                 break;
@@ -41,102 +43,104 @@
         state.1 -= 1;
     }
 
-    /// Waits until somebody waits at it.
-    pub fn held(&self) {
+    /// Waits until a thread is blocked at the gate.
+    pub fn wait_until_blocked(&self) {
         let state = self.0 .0.lock().unwrap();
-        let (state, _) = self.0 .1.wait_timeout_while(state, LONG, |s| s.1 == 0).unwrap();
-        assert!(state.1 > 0, "nobody came to the gate");
+        let (state, _) = self.0 .1.wait_timeout_while(state, TIMEOUT, |s| s.1 == 0).unwrap();
+        assert!(state.1 > 0, "no thread reached the gate");
     }
 }
 
-/// A host that waits at a gate whenever it comes to a point.
-pub fn host_held(config: &serde_json::Value, at: Point) -> (Service, SocketAddr, Gate) {
+/// Starts a host that passes a gate whenever it reaches a point.
+pub fn start_host_with_gate(config: &serde_json::Value, at: Point) -> (Service, SocketAddr, Gate) {
     let gate = Gate::default();
-    let held = gate.clone();
-    let hold = Arc::new(move |point| {
+    let blocking = gate.clone();
+    let hook = Arc::new(move |point| {
         if point == at {
-            held.pass();
+            blocking.pass();
         }
     });
-    let host = Service::start_held(Config::parse(config.to_string().as_bytes()).unwrap(), hold).unwrap();
+    let host =
+        Service::start_with_point_hook(Config::parse(config.to_string().as_bytes()).unwrap(), hook).unwrap();
     let address = host.address().unwrap();
     (host, address, gate)
 }
 
-/// A host whose connections to nodes hold a few thousand bytes that their nodes have not taken; the rest waits in its
+/// Starts a host whose connections to nodes have send buffers of a few thousand bytes; the rest waits in its
 /// write buffers.
-pub fn host_with_small_buffers(config: &serde_json::Value) -> (Service, SocketAddr) {
-    let prepare = Arc::new(|stream: &TcpStream| set_socket_send_buffer_size(stream, 4 * 1024).unwrap());
+pub fn start_host_with_small_buffers(config: &serde_json::Value) -> (Service, SocketAddr) {
+    let hook = Arc::new(|stream: &TcpStream| set_socket_send_buffer_size(stream, 4 * 1024).unwrap());
     let config = Config::parse(config.to_string().as_bytes()).unwrap();
-    let host = Service::start_prepared(config, prepare).unwrap();
+    let host = Service::start_with_connect_hook(config, hook).unwrap();
     let address = host.address().unwrap();
     (host, address)
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Departure {
-    /// It closes its connection.
+pub enum Disconnect {
+    /// Closes the connection.
     Close,
-    /// It ends its sending side and goes on reading.
-    EndSending,
-    /// Its connection is reset.
+    /// Shuts down its sending side and keeps reading.
+    ShutdownWrite,
+    /// Resets the connection.
     Reset,
 }
 
-impl Departure {
-    pub const ALL: [Departure; 3] = [Departure::Close, Departure::EndSending, Departure::Reset];
+impl Disconnect {
+    pub const ALL: [Disconnect; 3] = [Disconnect::Close, Disconnect::ShutdownWrite, Disconnect::Reset];
 
-    /// Leaves; what is left of the connection, which stays open until it is dropped.
-    pub fn leave(self, stream: TcpStream) -> Option<TcpStream> {
+    /// Disconnects. Returns the connection if it stays open, so that the caller decides when to drop it.
+    pub fn apply(self, stream: TcpStream) -> Option<TcpStream> {
         match self {
-            Departure::Close => drop(stream),
-            Departure::EndSending => {
+            Disconnect::Close => drop(stream),
+            Disconnect::ShutdownWrite => {
                 stream.shutdown(Shutdown::Write).unwrap();
                 return Some(stream);
             }
-            Departure::Reset => reset(stream),
+            Disconnect::Reset => reset(stream),
         }
         None
     }
 }
 
-/// A node to which connections come up only when the test lets them.
-pub struct LateNode {
+/// A node to which connections open only when the test lets them.
+pub struct GatedNode {
     listener: TcpListener,
-    filling: Vec<TcpStream>,
+    queue_fillers: Vec<TcpStream>,
 }
 
-impl LateNode {
-    pub fn new() -> LateNode {
+impl GatedNode {
+    pub fn new() -> GatedNode {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        LateNode { listener, filling: Vec::new() }
+        GatedNode { listener, queue_fillers: Vec::new() }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Its connections take a few thousand bytes until they are read.
-    pub fn small_window(&self) {
+    /// Limits the receive buffers of its connections to a few thousand bytes.
+    pub fn limit_receive_buffers(&self) {
         set_socket_recv_buffer_size(&self.listener, 4 * 1024).unwrap();
     }
 
-    /// The next connection that came up, unless it is one that fills the queue. Danger: a wait without an end holds up all tests.
+    /// Accepts the next connection, other than those that fill the queue. Fails after [`LONG`], since a wait
+    /// without a limit would block all tests.
     pub fn accept(&self) -> TcpStream {
-        let ours: Vec<SocketAddr> = self.filling.iter().map(|s| s.local_addr().unwrap()).collect();
-        let end = Instant::now() + LONG;
+        let fillers: Vec<SocketAddr> = self.queue_fillers.iter().map(|s| s.local_addr().unwrap()).collect();
+        let deadline = Instant::now() + TIMEOUT;
         self.listener.set_nonblocking(true).unwrap();
         loop {
             match self.listener.accept() {
-                Ok((stream, from)) if !ours.contains(&from) => {
+                Ok((stream, from)) if !fillers.contains(&from) => {
                     stream.set_nonblocking(false).unwrap();
-                    stream.set_read_timeout(Some(LONG)).unwrap();
+                    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
                     return stream;
                 }
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    assert!(Instant::now() < end, "no connection comes up");
+                    assert!(Instant::now() < deadline, "no connection was opened");
                     std::thread::sleep(Duration::from_millis(2));
                 }
                 Err(e) => panic!("{e}"),
@@ -144,40 +148,40 @@
         }
     }
 
-    /// From now on the system drops attempts to connect; whoever makes one goes on trying, each second or so.
-    pub fn hold_up(&mut self) {
+    /// Makes the kernel drop attempts to connect, which are repeated about every second.
+    pub fn block_connects(&mut self) {
         rustix::net::listen(&self.listener, 0).unwrap();
         loop {
             match TcpStream::connect_timeout(&self.address(), Duration::from_millis(150)) {
-                Ok(stream) => self.filling.push(stream),
+                Ok(stream) => self.queue_fillers.push(stream),
                 Err(e) => {
                     assert!(matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock), "{e}");
                     return;
                 }
             }
-            assert!(self.filling.len() < 64, "the queue does not fill");
+            assert!(self.queue_fillers.len() < 64, "the accept queue does not fill up");
         }
     }
 
-    /// Connections come up again.
-    pub fn let_up(&self) {
+    /// Lets connections open again.
+    pub fn allow_connects(&self) {
         rustix::net::listen(&self.listener, 64).unwrap();
     }
 }
 
-/// Reads up to the end of a command's list, whatever follows; what was read.
+/// Reads a command up to the end of its attribute list. Returns all data read.
 pub fn read_command(stream: &mut TcpStream) -> Vec<u8> {
-    let mut got = Vec::new();
-    let mut piece = [0; 4096];
-    while !got.windows(6).any(|w| w == b"hosts=") || !got.ends_with(b"\r\n") {
-        let n = stream.read(&mut piece).unwrap();
-        assert!(n > 0, "the connection ends within a command");
-        got.extend_from_slice(&piece[..n]);
+    let mut received = Vec::new();
+    let mut chunk = [0; 4096];
+    while !received.windows(6).any(|w| w == b"hosts=") || !received.ends_with(b"\r\n") {
+        let n = stream.read(&mut chunk).unwrap();
+        assert!(n > 0, "the connection ended within a command");
+        received.extend_from_slice(&chunk[..n]);
     }
-    got
+    received
 }
 
-/// Nothing comes on a connection within a while, or it ends.
+/// Whether a connection stays silent for a while or ends.
 pub fn is_silent(stream: &mut TcpStream) -> bool {
     stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
     match stream.read(&mut [0; 64]) {
@@ -188,81 +192,81 @@
     }
 }
 
-/// Ends a connection by a reset.
+/// Resets a connection.
 pub fn reset(stream: TcpStream) {
     set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
 }
 
-/// Discovery whose every answer a test gives.
-pub struct Agent {
+/// Discovery whose every response the test writes.
+pub struct ManualAgent {
     pub address: SocketAddr,
     calls: Receiver<(String, TcpStream)>,
 }
 
-impl Agent {
-    pub fn new() -> Agent {
+impl ManualAgent {
+    pub fn new() -> ManualAgent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (to, calls) = channel();
+        let (sender, calls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
                 let mut head = Vec::new();
-                let mut piece = [0; 1024];
+                let mut chunk = [0; 1024];
                 while !head.windows(4).any(|w| w == b"\r\n\r\n") {
-                    match stream.read(&mut piece) {
-                        Ok(n @ 1..) => head.extend_from_slice(&piece[..n]),
+                    match stream.read(&mut chunk) {
+                        Ok(n @ 1..) => head.extend_from_slice(&chunk[..n]),
                         _ => break,
                     }
                 }
                 let line = String::from_utf8_lossy(&head);
                 let path = line.split(' ').nth(1).unwrap_or_default().to_owned();
-                if to.send((path, stream)).is_err() {
+                if sender.send((path, stream)).is_err() {
                     return;
                 }
             }
         });
-        Agent { address, calls }
+        ManualAgent { address, calls }
     }
 
-    /// The next call: its path, and where it is to be answered.
-    pub fn call(&self) -> (String, TcpStream) {
-        self.calls.recv_timeout(LONG).expect("discovery is not called")
+    /// The next call: its path, and the connection on which to respond.
+    pub fn next_call(&self) -> (String, TcpStream) {
+        self.calls.recv_timeout(TIMEOUT).expect("discovery was not called")
     }
 
-    /// Answers the next call whole; its path.
-    pub fn tell(&self, list: &str) -> String {
-        let (path, stream) = self.call();
-        answer(stream, list);
+    /// Responds to the next call with a list. Returns the path of the call.
+    pub fn respond(&self, list: &str) -> String {
+        let (path, stream) = self.next_call();
+        respond_to(stream, list);
         path
     }
 }
 
-/// Answers a call whole.
-pub fn answer(mut stream: TcpStream, list: &str) {
+/// Responds to a call with a list.
+pub fn respond_to(mut stream: TcpStream, list: &str) {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
     let _ = stream.write_all(&[head.as_bytes(), list.as_bytes()].concat());
 }
 
-/// A line of a list: a node of shard 0.
-pub fn line(dial: SocketAddr, health: &str, born_ms: u64) -> String {
+/// An entry of a node list: a node of shard 0.
+pub fn node_entry(address: SocketAddr, health: &str, started_ms: u64) -> String {
     format!(
-        r#"{{"host":"s-{dial}","dial":"{dial}","site":"a","class":"m","block":0,"health":"{health}","share":1.0,"born_ms":{born_ms}}}"#
+        r#"{{"host":"s-{address}","dial":"{address}","site":"a","class":"m","block":0,"health":"{health}","share":1.0,"born_ms":{started_ms}}}"#
     )
 }
 
-/// A list.
-pub fn list(seq: u64, whole: bool, lines: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, lines.join(","))
+/// A node list.
+pub fn node_list(version: u64, is_full: bool, nodes: &[String]) -> String {
+    format!(r#"{{"seq":{version},"whole":{is_full},"hosts":[{}]}}"#, nodes.join(","))
 }
 
-/// Reads to the end of a connection; whether that was an orderly one.
-pub fn ends_in_order(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(LONG)).unwrap();
-    let end = Instant::now() + LONG;
-    let mut piece = [0; 4096];
-    while Instant::now() < end {
-        match stream.read(&mut piece) {
+/// Reads to the end of a connection. Returns whether it ended without a reset.
+pub fn ends_without_reset(stream: &mut TcpStream) -> bool {
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let deadline = Instant::now() + TIMEOUT;
+    let mut chunk = [0; 4096];
+    while Instant::now() < deadline {
+        match stream.read(&mut chunk) {
             Ok(0) => return true,
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
