--- a/crates/serving/tests/service.rs
+++ b/crates/serving/tests/service.rs
@@ -1,8 +1,10 @@
-//! A whole host on sockets: usual clients, bad clients, bad nodes, restarts.
+//! A complete host on sockets: well-behaved and misbehaving clients, misbehaving nodes, shutdown.
 
 mod common;
 
-use common::{discovery, host, is_error, list_of, node, until, value, Client, Reaction};
+use common::{
+    attributes_of, fake_discovery, fake_node, is_error, start_host, value_reply, wait_until, Client, Reaction,
+};
 use pearfork_resp::Reply;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,122 +12,124 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_is_served_with_the_value_of_its_node_and_answers_keep_their_order() {
+fn requests_are_served_and_replies_keep_the_order_of_commands() {
     let slow = Duration::from_millis(60);
-    let (node, heard) = node(move |n, c| match n {
-        0 => Reaction::Later(slow, value(c)),
-        _ => Reaction::Say(value(c)),
+    let (node, received) = fake_node(move |n, c| match n {
+        0 => Reaction::ReplyAfter(slow, value_reply(c)),
+        _ => Reaction::Reply(value_reply(c)),
     });
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let mut client = Client::connect(address);
-    client.read(0xa1);
-    client.read(0xa2);
+    client.send_read(0xa1);
+    client.send_read(0xa2);
     client.send(&["PING"]);
-    assert_eq!(client.served(), Some(0xa1));
-    assert_eq!(client.served(), Some(0xa2));
+    assert_eq!(client.served_id(), Some(0xa1));
+    assert_eq!(client.served_id(), Some(0xa2));
     assert_eq!(client.reply(), Some(Reply::Simple("PONG".into())));
-    let heard = heard.lock().unwrap();
-    assert_eq!(heard.len(), 2);
-    // The node is told how long the host waits: no longer than the client does.
+    let received = received.lock().unwrap();
+    assert_eq!(received.len(), 2);
+    // The node is given the time that the host waits, which is at most what the client waits.
     let wait: u32 =
-        list_of(&heard[0]).split("d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+        attributes_of(&received[0]).split("d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
     assert!((1..=1_000).contains(&wait), "{wait}");
 }
 
-/// Danger: a second copy of an answer, or noise behind it, is read as the answer to the next command, and a client
-/// is served what was made for another.
+/// Guards against taking a duplicate reply, or garbage after a reply, for the reply to the next command,
+/// which would serve a client another request's value.
 #[test]
-fn what_a_node_sends_beyond_its_answer_is_nobody_s() {
-    let (node, _) = node(|n, c| {
-        let good = value(c);
-        Reaction::Say(match n % 3 {
+fn extra_data_from_a_node_is_never_taken_for_a_reply() {
+    let (node, _) = fake_node(|n, c| {
+        let good = value_reply(c);
+        Reaction::Reply(match n % 3 {
             0 => [good.clone(), good].concat(),
             1 => [good, b"$5\r\nnoi".to_vec()].concat(),
             _ => good,
         })
     });
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let mut client = Client::connect(address);
     for id in 1..60 {
-        client.read(id);
-        assert_eq!(client.served(), Some(id));
+        client.send_read(id);
+        assert_eq!(client.served_id(), Some(id));
     }
 }
 
-/// A spoilt answer has failed and may have run: a safe request is tried again, and memory stays small.
+/// A malformed reply is an error of an attempt that may have run: a safe request is retried, and memory use
+/// stays small.
 #[test]
-fn a_spoilt_answer_is_followed_by_another_attempt() {
-    let spoilt: [&[u8]; 4] =
+fn a_malformed_reply_is_retried() {
+    let malformed: [&[u8]; 4] =
         [b"$3000000000\r\nxxxxxxxx", b"*3\r\n$2\r\nabcdef\r\n", b"\x00\x01noise\r\n", b"+OK\r\n"];
-    let (node, heard) = node(move |n, c| match spoilt.get(n / 2) {
-        Some(bytes) if n % 2 == 0 => Reaction::Say(bytes.to_vec()),
-        _ => Reaction::Say(value(c)),
+    let (node, received) = fake_node(move |n, c| match malformed.get(n / 2) {
+        Some(bytes) if n % 2 == 0 => Reaction::Reply(bytes.to_vec()),
+        _ => Reaction::Reply(value_reply(c)),
     });
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let mut client = Client::connect(address);
     for id in 1..=4 {
-        client.read(id);
-        assert_eq!(client.served(), Some(id));
+        client.send_read(id);
+        assert_eq!(client.served_id(), Some(id));
     }
-    assert_eq!(heard.lock().unwrap().len(), 8);
+    assert_eq!(received.lock().unwrap().len(), 8);
 }
 
 #[test]
-fn a_node_that_turns_away_all_is_refused_to_the_client_with_a_promise() {
-    let (node, heard) = node(|_, _| Reaction::Say(b"-BUSY\r\n".to_vec()));
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+fn requests_are_refused_if_the_node_rejects_all_attempts() {
+    let (node, received) = fake_node(|_, _| Reaction::Reply(b"-BUSY\r\n".to_vec()));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let mut client = Client::connect(address);
-    client.read(1);
+    client.send_read(1);
     assert!(is_error(&client.reply(), "BUSY"));
-    assert!(heard.lock().unwrap().len() <= 4);
+    assert!(received.lock().unwrap().len() <= 4);
 }
 
-/// Rule 1, and nothing of a hung node holds up another's requests.
+/// Every request gets a final answer in time (rule 1), and a node that does not respond delays no request to
+/// another node.
 #[test]
-fn a_node_that_answers_nothing_costs_its_requests_and_no_others() {
-    let (hung, _) = node(|_, _| Reaction::Nothing);
-    let (sound, _) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[hung, sound]);
-    let (_host, address) = host(&told, &[hung, sound]);
-    let mut waits = Client::connect(address);
+fn a_hung_node_delays_no_request_to_another_node() {
+    let (hung, _) = fake_node(|_, _| Reaction::NoReply);
+    let (working, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[hung, working]);
+    let (_host, address) = start_host(&agent, &[hung, working]);
+    let mut waiting = Client::connect(address);
     let began = Instant::now();
-    waits.read_of(1, 0, 700);
+    waiting.send_read_with(1, 0, 700);
     let mut client = Client::connect(address);
     for id in 2..20 {
-        client.read_of(id, 1, 1_000);
-        assert_eq!(client.served(), Some(id));
+        client.send_read_with(id, 1, 1_000);
+        assert_eq!(client.served_id(), Some(id));
     }
-    assert!(matches!(waits.reply(), Some(Reply::Error(_))));
+    assert!(matches!(waiting.reply(), Some(Reply::Error(_))));
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
 }
 
-/// Danger: an id that another request has open would make two requests one at a node that drops repeats.
+/// Guards against two open requests under one id, which a node that drops duplicates would treat as one.
 #[test]
-fn an_id_in_use_is_an_error_and_the_first_is_served() {
-    let (node, heard) = node(|_, c| Reaction::Later(Duration::from_millis(80), value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+fn a_second_request_under_an_open_id_is_an_error() {
+    let (node, received) = fake_node(|_, c| Reaction::ReplyAfter(Duration::from_millis(80), value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let (mut first, mut second) = (Client::connect(address), Client::connect(address));
-    first.read(7);
-    until("the first is out", || !heard.lock().unwrap().is_empty());
-    second.read(7);
+    first.send_read(7);
+    wait_until("the first request is in flight", || !received.lock().unwrap().is_empty());
+    second.send_read(7);
     assert!(is_error(&second.reply(), "ERR id is in use"));
-    assert_eq!(first.served(), Some(7));
-    assert_eq!(heard.lock().unwrap().len(), 1);
+    assert_eq!(first.served_id(), Some(7));
+    assert_eq!(received.lock().unwrap().len(), 1);
 }
 
-/// Each is owed an error or a close within 3 s, and none of them costs a usual client its answer.
+/// Each misbehaving client gets an error or a close within 3 s, and none of them delays a well-behaved one.
 #[test]
-fn bad_clients_get_an_error_or_a_close_and_the_usual_ones_their_answers() {
-    let (node, heard) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+fn misbehaving_clients_do_not_affect_others() {
+    let (node, received) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let silent: Vec<Client> = (0..300).map(|_| Client::connect(address)).collect();
-    let bad: [&[u8]; 9] = [
+    let misbehaving: [&[u8]; 9] = [
         b"hello\r\n",
         &[b'x'; 5_000],
         b"*1\r\n$60000000\r\n",
@@ -136,7 +140,7 @@
         b"*2\r\n$7\r\nOBJ.GET\r\n$1\r\na\r\n",
         b"*1\r\n$5\r\nHELLO\r\n",
     ];
-    let bad: Vec<(Client, Instant)> = bad
+    let misbehaving: Vec<(Client, Instant)> = misbehaving
         .iter()
         .map(|bytes| {
             let mut c = Client::connect(address);
@@ -146,25 +150,26 @@
         .collect();
     let mut client = Client::connect(address);
     for id in 1..50 {
-        client.read(id);
-        assert_eq!(client.served(), Some(id));
+        client.send_read(id);
+        assert_eq!(client.served_id(), Some(id));
     }
-    for (i, (mut c, since)) in bad.into_iter().enumerate() {
-        let got = c.reply();
-        assert!(got.is_none() || is_error(&got, "ERR"), "{i}: {got:?}");
+    for (i, (mut c, since)) in misbehaving.into_iter().enumerate() {
+        let reply = c.reply();
+        assert!(reply.is_none() || is_error(&reply, "ERR"), "{i}: {reply:?}");
         assert!(since.elapsed() < Duration::from_secs(3), "{i}: {:?}", since.elapsed());
     }
     for mut c in silent {
         assert_eq!(c.stream.read(&mut [0]).unwrap_or(0), 0);
     }
-    assert_eq!(heard.lock().unwrap().len(), 49, "nothing of the bad ones reached the node");
+    assert_eq!(received.lock().unwrap().len(), 49, "a request of a misbehaving client reached the node");
 }
 
-/// Danger: nonsense at full speed takes the core. Its errors come at once, and its next command is read later each time.
+/// Guards against invalid commands at full speed, which would occupy a core. Errors are sent at once, but the
+/// next command is read later each time.
 #[test]
-fn nonsense_again_and_again_ends_in_a_close() {
-    let told = discovery(1, &[]);
-    let (_host, address) = host(&told, &[]);
+fn repeated_invalid_commands_close_the_connection() {
+    let agent = fake_discovery(1, &[]);
+    let (_host, address) = start_host(&agent, &[]);
     let mut client = Client::connect(address);
     let mut errors = 0;
     loop {
@@ -179,127 +184,132 @@
 }
 
 #[test]
-fn a_client_that_leaves_costs_nobody_anything() {
-    let (node, _) = node(|_, c| Reaction::Later(Duration::from_millis(30), value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+fn a_disconnect_does_not_affect_other_clients() {
+    let (node, _) = fake_node(|_, c| Reaction::ReplyAfter(Duration::from_millis(30), value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     for id in 1..20 {
-        Client::connect(address).read(id);
+        Client::connect(address).send_read(id);
     }
     let mut client = Client::connect(address);
-    until("a request is served", || {
-        client.read(99);
-        client.served() == Some(99)
+    wait_until("a request is served", || {
+        client.send_read(99);
+        client.served_id() == Some(99)
     });
 }
 
-/// A planned restart: what is taken before and shortly after is answered, then all is closed.
+/// Planned restart: requests accepted before and shortly after the shutdown began are answered, then all
+/// connections are closed.
 #[test]
-fn a_host_that_leaves_answers_what_it_took() {
-    let (node, heard) = node(|_, c| Reaction::Later(Duration::from_millis(700), value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address) = host(&told, &[node]);
+fn accepted_requests_are_answered_during_shutdown() {
+    let (node, received) = fake_node(|_, c| Reaction::ReplyAfter(Duration::from_millis(700), value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host(&agent, &[node]);
     let mut before = Client::connect(address);
-    before.read(1);
-    until("it is out", || !heard.lock().unwrap().is_empty());
+    before.send_read(1);
+    wait_until("the request is in flight", || !received.lock().unwrap().is_empty());
     let stopped = std::thread::spawn(move || host.stop());
     std::thread::sleep(Duration::from_millis(100));
     let mut after = Client::connect(address);
     after.send(&["PING"]);
     assert_eq!(after.reply(), Some(Reply::Simple("PONG".into())));
-    assert_eq!(before.served(), Some(1));
+    assert_eq!(before.served_id(), Some(1));
     assert_eq!((before.reply(), after.reply()), (None, None));
     assert!(stopped.join().unwrap());
 }
 
-/// Danger: clients go on using the connections that they have. A host that closes them early serves them nothing for
-/// seconds, and with a tenth of a fleet on its way out at any time that is a tenth of its service.
+/// Guards against closing connections early in a shutdown. Clients keep using the connections they have, so
+/// such a host serves them nothing for seconds; with a tenth of a fleet restarting at any time, that is a
+/// tenth of its service.
 #[test]
-fn a_host_that_leaves_serves_open_connections_until_shortly_before_its_end() {
-    let (node, _) = node(|_, c| Reaction::Say(value(c)));
-    let told = discovery(1, &[node]);
-    let (host, address) = host(&told, &[node]);
+fn open_connections_are_served_until_late_in_a_shutdown() {
+    let (node, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host(&agent, &[node]);
     let mut client = Client::connect(address);
-    client.read(1);
-    assert_eq!(client.served(), Some(1));
+    client.send_read(1);
+    assert_eq!(client.served_id(), Some(1));
     let stopped = std::thread::spawn(move || host.stop());
-    // The longest deadline is 1.2 s: it may be ended 1.9 s after the word, and closes what is idle from 1.5 s on.
+    // The longest deadline is 1.2 s, so the host may be killed 1.9 s after the shutdown began and closes idle
+    // connections from 1.5 s on.
     std::thread::sleep(Duration::from_millis(950));
-    client.read(2);
-    assert_eq!(client.served(), Some(2));
-    assert_eq!(client.reply(), None, "closed in the end");
+    client.send_read(2);
+    assert_eq!(client.served_id(), Some(2));
+    assert_eq!(client.reply(), None, "closed at the end");
     assert!(stopped.join().unwrap());
 }
 
-/// What comes late has its answer before the host ends, whatever its client would wait.
+/// A request that arrives late in a shutdown is answered before the host exits, however long its client would
+/// wait.
 #[test]
-fn a_host_that_leaves_answers_in_time_what_its_node_does_not() {
-    let (node, _) = node(|_, _| Reaction::Nothing);
-    let told = discovery(1, &[node]);
-    let (host, address) = host(&told, &[node]);
+fn a_request_without_a_response_is_answered_before_the_host_exits() {
+    let (node, _) = fake_node(|_, _| Reaction::NoReply);
+    let agent = fake_discovery(1, &[node]);
+    let (host, address) = start_host(&agent, &[node]);
     let mut client = Client::connect(address);
     client.send(&["PING"]);
     assert!(client.reply().is_some());
     let stopped = std::thread::spawn(move || host.stop());
     std::thread::sleep(Duration::from_millis(950));
-    client.read_of(2, 0, 60_000);
+    client.send_read_with(2, 0, 60_000);
     assert!(matches!(client.reply(), Some(Reply::Error(_))));
     assert!(stopped.join().unwrap());
 }
 
-/// A new configuration names discovery elsewhere: what it tells there is what counts.
+/// A new configuration names another discovery address, whose list is then in force.
 #[test]
-fn discovery_is_followed_to_its_new_address() {
+fn a_new_discovery_address_takes_effect() {
     let calls = Arc::new(AtomicUsize::new(0));
-    let (old_node, _) = node(|_, c| Reaction::Say(value(c)));
+    let (old_node, _) = fake_node(|_, c| Reaction::Reply(value_reply(c)));
     let counted = calls.clone();
-    let (new_node, _) = node(move |_, c| {
+    let (new_node, _) = fake_node(move |_, c| {
         counted.fetch_add(1, Ordering::SeqCst);
-        Reaction::Say(value(c))
+        Reaction::Reply(value_reply(c))
     });
-    let old = discovery(1, &[old_node]);
-    let (host, address) = host(&old, &[old_node]);
-    let new = discovery(2, &[new_node]);
+    let old = fake_discovery(1, &[old_node]);
+    let (host, address) = start_host(&old, &[old_node]);
+    let new = fake_discovery(2, &[new_node]);
     host.set_discovery_address(new.address());
     drop(old);
     let mut client = Client::connect(address);
     let mut id = 0;
-    until("the new node is asked", || {
+    wait_until("the new node receives a request", || {
         id += 1;
-        client.read(id);
+        client.send_read(id);
         client.reply();
         calls.load(Ordering::SeqCst) > 0
     });
 }
 
-/// Danger: answers that a client does not read fill memory, or hold up whoever writes them.
+/// Guards against a client that does not read its replies filling memory or blocking the threads that write.
 #[test]
-fn a_client_that_does_not_read_its_answers_stalls_nobody() {
-    let big = [b"*3\r\n$60000\r\n".to_vec(), vec![b'v'; 60_000], b"\r\n$-1\r\n$-1\r\n".to_vec()].concat();
-    let (node, _) = node(move |_, _| Reaction::Say(big.clone()));
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
-    let mut deaf = Client::connect(address);
-    deaf.stream.set_write_timeout(Some(Duration::from_secs(1))).unwrap();
-    let deaf = std::thread::spawn(move || {
+fn a_client_that_does_not_read_its_replies_blocks_nobody() {
+    let large_reply =
+        [b"*3\r\n$60000\r\n".to_vec(), vec![b'v'; 60_000], b"\r\n$-1\r\n$-1\r\n".to_vec()].concat();
+    let (node, _) = fake_node(move |_, _| Reaction::Reply(large_reply.clone()));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
+    let mut not_reading = Client::connect(address);
+    not_reading.stream.set_write_timeout(Some(Duration::from_secs(1))).unwrap();
+    let not_reading = std::thread::spawn(move || {
         for id in 1_000..1_400u64 {
             let list = "c=read,t=gold,d=1000,volume=0000000000000002,units=1,shard=0,hosts=3";
             let command = format!(
                 "*4\r\n$7\r\nOBJ.GET\r\n$16\r\n{id:016x}\r\n$16\r\n{id:016x}\r\n${}\r\n{list}\r\n",
                 list.len()
             );
-            if deaf.stream.write_all(command.as_bytes()).is_err() {
+            if not_reading.stream.write_all(command.as_bytes()).is_err() {
                 break;
             }
         }
-        deaf
+        not_reading
     });
     let mut client = Client::connect(address);
     let mut served = 0;
-    until("thirty are served beside it", || {
+    wait_until("thirty requests of another client are served", || {
         served += 1;
-        client.read(served);
+        client.send_read(served);
         matches!(client.reply(), Some(Reply::Bulk(Some(v))) if v.len() == 60_000) && served >= 30
     });
-    drop(deaf.join().unwrap());
+    drop(not_reading.join().unwrap());
 }
--- a/crates/serving/tests/threads.rs
+++ b/crates/serving/tests/threads.rs
@@ -1,36 +1,37 @@
-//! What a host costs the machine that it shares with hundreds of others. Alone in its process, since it counts threads.
+//! Resource use of a host that shares its machine with hundreds of others. A test binary of its own, since it
+//! counts the threads of the process.
 
 #[expect(dead_code)]
 mod common;
 
-use common::{discovery, host, node, until, value, Client, Reaction, STAND_IN};
+use common::{fake_discovery, fake_node, start_host, value_reply, wait_until, Client, Reaction, FAKE_THREAD};
 use std::time::Duration;
 
-/// Threads of this process that neither a stand-in node nor the stand-in discovery has.
+/// Number of threads of this process that do not belong to a fake node or to fake discovery.
 fn threads() -> usize {
     let tasks = std::fs::read_dir("/proc/self/task").unwrap();
     let names = tasks.filter_map(|t| std::fs::read_to_string(t.ok()?.path().join("comm")).ok());
-    names.filter(|name| name.trim() != STAND_IN && !name.starts_with("http")).count()
+    names.filter(|name| name.trim() != FAKE_THREAD && !name.starts_with("http")).count()
 }
 
-/// Danger: with a thread for each connection, three hundred hosts on one machine have used up its threads; a host that
-/// gets none closes connections that it accepted, and lost every request on them.
+/// Guards against one thread per connection: three hundred hosts on one machine used up its threads, and a
+/// host that could not start one closed connections that it had accepted and lost their requests.
 #[test]
-fn a_host_has_as_many_threads_with_hundreds_of_connections_as_with_one() {
-    let (node, heard) = node(|_, c| Reaction::Later(Duration::from_millis(300), value(c)));
-    let told = discovery(1, &[node]);
-    let (_host, address) = host(&told, &[node]);
+fn the_number_of_threads_does_not_depend_on_connections() {
+    let (node, received) = fake_node(|_, c| Reaction::ReplyAfter(Duration::from_millis(300), value_reply(c)));
+    let agent = fake_discovery(1, &[node]);
+    let (_host, address) = start_host(&agent, &[node]);
     let mut first = Client::connect(address);
-    first.read(1);
-    assert_eq!(first.served(), Some(1));
+    first.send_read(1);
+    assert_eq!(first.served_id(), Some(1));
     let before = threads();
     let mut clients: Vec<Client> = (0..100).map(|_| Client::connect(address)).collect();
     for (id, client) in (2..).zip(&mut clients) {
-        client.read_of(id, 0, 5_000);
+        client.send_read_with(id, 0, 5_000);
     }
-    until("some are out at once", || heard.lock().unwrap().len() > 3);
-    // A thread has its own name a moment after its start only.
-    until("no more threads than before", || threads() == before);
+    wait_until("several requests are in flight at once", || received.lock().unwrap().len() > 3);
+    // A thread gets its own name only a moment after its start.
+    wait_until("no more threads than before", || threads() == before);
     for client in &mut clients {
         assert!(client.reply().is_some());
     }
