--- /dev/null
+++ b/crates/serving/src/client_reader.rs
@@ -0,0 +1,554 @@
+//! The thread that accepts client connections and reads them.
+
+use crate::client::{Client, Mailbox};
+use crate::engine::Message;
+use crate::test_hooks::{Point, TestHooks};
+use bytes::Bytes;
+use crossbeam_channel::Sender;
+use pearfork_net::{lock, long_queue, Clock, Flusher, Ready, Want, WriteBuffer, MOST_TOLD};
+use pearfork_platform::clients::{AfterError, ClientId, ClientTable};
+use pearfork_platform::config::RequestSchema;
+use pearfork_platform::lifecycle::{Effect, Event, Lifecycle, State};
+use pearfork_platform::request::{self, ClientCommand};
+use pearfork_resp::{write, CommandDecoder};
+use std::collections::{BTreeSet, HashMap};
+use std::io;
+use std::net::{TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+
+/// Length of the kernel's queue of connections that are not accepted yet.
+const ACCEPT_QUEUE_LEN: i32 = 1024;
+/// Poll token of the listener; connections are numbered from 1.
+const LISTENER_TOKEN: u64 = 0;
+/// Maximum number of connections accepted before existing ones are read again.
+const MAX_ACCEPTS_PER_POLL: usize = 64;
+/// Maximum number of bytes read from one connection before the next one is read.
+const READ_CHUNK: usize = 16 * 1024;
+/// Interval between checks for connections to close, in normal operation.
+const SWEEP_INTERVAL_MS: f64 = 200.0;
+/// Interval between these checks during shutdown.
+const SHUTDOWN_SWEEP_INTERVAL_MS: f64 = 10.0;
+/// Interval between checks of the write buffer of a connection that is closed once the buffer is empty.
+const FLUSH_CHECK_MS: f64 = 5.0;
+/// How long incoming data is read after the sending side was shut down, in normal operation. A client that
+/// sees the end of the connection closes it itself.
+const LINGER_MS: f64 = 500.0;
+/// The same during shutdown.
+const SHUTDOWN_LINGER_MS: f64 = 120.0;
+/// Pause in accepting when no descriptor is available or no connection can be evicted.
+const ACCEPT_PAUSE_MS: f64 = 5.0;
+
+/// A poll that took at least this long found nothing ready when it began.
+const MIN_BLOCKED_MS: f64 = 1.0;
+
+/// Progress of a shutdown. Connections are accepted until its end, since the client of a connection in the
+/// kernel's queue is owed an answer.
+#[derive(Debug, Default)]
+pub(crate) struct ShutdownFlags {
+    /// Close connections that are idle and from which nothing is expected.
+    pub(crate) close_idle: AtomicBool,
+    /// Close all connections without open requests.
+    pub(crate) close_all: AtomicBool,
+    /// Stop the thread.
+    pub(crate) stop: AtomicBool,
+}
+
+/// State of a connection that belongs to its reader.
+struct Connection {
+    client: Arc<Client>,
+    decoder: CommandDecoder,
+    lifecycle: Lifecycle,
+    /// The data read last arrived after this time.
+    arrived_after: f64,
+    /// Time since which the connection has not been read or, if it was just accepted, polled.
+    unread_since: Option<f64>,
+}
+
+/// Estimates when data arrived on the sockets.
+///
+/// The time that a client waits runs from its sending of a request. If this thread is delayed, data has been
+/// waiting for a while when it is read; a node that is given the full time would be given more than its
+/// client has left.
+#[derive(Debug, Default)]
+struct ArrivalEstimate {
+    /// The data reported by the last poll arrived after this time.
+    arrived_after: f64,
+    /// Time at which the last poll ended.
+    last_poll_end: Option<f64>,
+}
+
+impl ArrivalEstimate {
+    /// Records a poll that ran from `began_at` to `ended_at` and reported `sockets` ready sockets.
+    fn record_poll(&mut self, began_at: f64, ended_at: f64, sockets: usize) {
+        let before = self.last_poll_end.replace(ended_at);
+        self.arrived_after = match before {
+            Some(last_poll_end) if ended_at - began_at < MIN_BLOCKED_MS => {
+                // With this many ready sockets others may have been left out and waited for longer, so the
+                // estimate is not advanced.
+                if sockets < MOST_TOLD {
+                    last_poll_end
+                } else {
+                    self.arrived_after
+                }
+            }
+            _ => ended_at,
+        };
+    }
+}
+
+/// Result of reading the commands of a connection.
+enum Accepted {
+    /// All complete commands were accepted.
+    All,
+    /// The maximum number of commands is open.
+    AtLimit,
+    /// An invalid command was received; read nothing until the given time.
+    Pause(f64),
+    /// No further commands are accepted.
+    Close,
+}
+
+/// Accepts and reads all client connections.
+pub(crate) struct ClientReader {
+    pub(crate) mailbox: Arc<Mailbox>,
+    pub(crate) table: Arc<Mutex<ClientTable>>,
+    pub(crate) schema: RequestSchema,
+    pub(crate) engine: Sender<Message>,
+    pub(crate) clock: Clock,
+    pub(crate) flusher: Flusher,
+    pub(crate) shutdown: Arc<ShutdownFlags>,
+    pub(crate) hooks: TestHooks,
+    connections: HashMap<ClientId, Connection>,
+    /// Connections that need attention without new data: they are being closed, paused, or waiting to accept
+    /// commands.
+    need_attention: BTreeSet<ClientId>,
+    last_id: ClientId,
+    /// Time until which no connection is accepted.
+    accept_paused_until: Option<f64>,
+    /// Time since which connections may be waiting to be accepted.
+    queued_since: Option<f64>,
+    arrivals: ArrivalEstimate,
+}
+
+impl ClientReader {
+    pub(crate) fn new(
+        mailbox: Arc<Mailbox>,
+        table: Arc<Mutex<ClientTable>>,
+        schema: RequestSchema,
+        engine: Sender<Message>,
+        clock: Clock,
+        flusher: Flusher,
+        shutdown: Arc<ShutdownFlags>,
+    ) -> ClientReader {
+        ClientReader {
+            mailbox,
+            table,
+            schema,
+            engine,
+            clock,
+            flusher,
+            shutdown,
+            hooks: TestHooks::default(),
+            connections: HashMap::new(),
+            need_attention: BTreeSet::new(),
+            last_id: LISTENER_TOKEN,
+            accept_paused_until: None,
+            queued_since: None,
+            arrivals: ArrivalEstimate::default(),
+        }
+    }
+
+    /// Registers the listener with the poller.
+    ///
+    /// # Errors
+    /// The error of the system call.
+    pub(crate) fn register_listener(&self, listener: &TcpListener) -> io::Result<()> {
+        long_queue(listener, ACCEPT_QUEUE_LEN)?;
+        listener.set_nonblocking(true)?;
+        self.mailbox.poller.add(listener, LISTENER_TOKEN, Want::Read)
+    }
+
+    /// Runs until stopped.
+    pub(crate) fn run(mut self, listener: &TcpListener) {
+        let mut ready = Vec::new();
+        let mut chunk = vec![0u8; READ_CHUNK];
+        let mut sweep = self.clock.now_ms() + SWEEP_INTERVAL_MS;
+        let mut listener_closed = false;
+        while !self.shutdown.stop.load(Ordering::SeqCst) {
+            let due = self.next_due(sweep);
+            let began_at = self.clock.now_ms();
+            if let Err(why) = self.mailbox.poller.wait(&mut ready, Some(self.clock.instant(due))) {
+                tracing::error!(%why, "polling client connections failed");
+                return;
+            }
+            self.arrivals.record_poll(began_at, self.clock.now_ms(), ready.len());
+            self.hooks.reach(Point::ReaderPoll);
+            for event in &ready {
+                match event.token {
+                    LISTENER_TOKEN => self.accept(listener),
+                    _ => self.handle_ready(*event, &mut chunk),
+                }
+            }
+            for id in self.mailbox.take() {
+                self.resume_if_below_limit(id);
+                self.advance_close(id);
+            }
+            let now = self.clock.now_ms();
+            self.handle_due(now, listener);
+            if !listener_closed && self.shutdown.close_all.load(Ordering::SeqCst) {
+                listener_closed = self.close_listener(listener);
+            }
+            let closing = self.shutdown.close_idle.load(Ordering::SeqCst);
+            if now >= sweep || (closing && sweep > now + SHUTDOWN_SWEEP_INTERVAL_MS) {
+                sweep = now + if closing { SHUTDOWN_SWEEP_INTERVAL_MS } else { SWEEP_INTERVAL_MS };
+                self.sweep(now, closing);
+            }
+        }
+        pearfork_net::shut_listener(listener);
+    }
+
+    /// Time at which connections need attention even if no data arrives.
+    fn next_due(&self, sweep: f64) -> f64 {
+        let times = self.need_attention.iter().filter_map(|id| self.connections.get(id)).filter_map(|c| {
+            match c.lifecycle.state() {
+                State::Flushing(_) => Some(self.clock.now_ms() + FLUSH_CHECK_MS),
+                State::AtRequestLimit if c.client.has_unsent() => Some(self.clock.now_ms() + FLUSH_CHECK_MS),
+                _ => c.lifecycle.next_due(),
+            }
+        });
+        times.chain(self.accept_paused_until).fold(sweep, f64::min)
+    }
+
+    /// Resumes a connection that has waited to accept commands, if it now may.
+    fn resume_if_below_limit(&mut self, id: ClientId) {
+        let below_limit =
+            |c: &Connection| c.lifecycle.state() == State::AtRequestLimit && c.client.can_accept_command();
+        if self.connections.get(&id).is_some_and(below_limit) {
+            self.handle_event(id, Event::BelowLimit);
+            self.resume(id);
+        }
+    }
+
+    /// Handles commands that were buffered while the connection was not read, then reads what arrived in the
+    /// meantime. The read also records that nothing is left unread.
+    fn resume(&mut self, id: ClientId) {
+        self.accept_commands(id);
+        if self.connections.get(&id).is_some_and(|c| c.lifecycle.accepts_commands()) {
+            self.handle_ready(Ready { token: id, broken: false, ended: false }, &mut vec![0u8; READ_CHUNK]);
+        }
+    }
+
+    /// Handles connections whose time has come, and resumes accepting after a pause.
+    fn handle_due(&mut self, now: f64, listener: &TcpListener) {
+        for id in self.need_attention.iter().copied().collect::<Vec<ClientId>>() {
+            let is_paused = |reader: &ClientReader| {
+                reader.connections.get(&id).is_some_and(|c| matches!(c.lifecycle.state(), State::Paused(_)))
+            };
+            let was_paused = is_paused(self);
+            self.handle_event(id, Event::Tick);
+            if was_paused && !is_paused(self) {
+                self.resume(id);
+            }
+            self.resume_if_below_limit(id);
+            self.advance_close(id);
+        }
+        if self.accept_paused_until.is_some_and(|until| now >= until) {
+            self.accept_paused_until = None;
+            let _ = self.mailbox.poller.change(listener, LISTENER_TOKEN, Want::Read);
+        }
+    }
+
+    /// Closes the connections that the table selects, unless data on them has not been read yet.
+    fn sweep(&mut self, now: f64, closing: bool) {
+        let selected = {
+            let table = lock(&self.table);
+            match (closing, self.shutdown.close_all.load(Ordering::SeqCst)) {
+                (false, _) => table.overdue(now),
+                (true, false) => table.quiescent(now),
+                (true, true) => table.idle(),
+            }
+        };
+        for id in selected {
+            // The buffer of a connection that is not read because too many commands are open may hold
+            // complete commands.
+            let is_quiet =
+                |c: &Connection| c.lifecycle.state() != State::AtRequestLimit && !c.client.has_unread();
+            if self.connections.get(&id).is_some_and(is_quiet) {
+                self.hooks.reach(Point::ReaderClose);
+                self.close(id);
+            }
+        }
+    }
+
+    fn accept(&mut self, listener: &TcpListener) {
+        for _ in 0..MAX_ACCEPTS_PER_POLL {
+            // Without this check, running out of descriptors would leave the listener ready and make this
+            // thread spin.
+            if !lock(&self.table).can_accept(self.clock.now_ms()) {
+                return self.pause_accepting(listener);
+            }
+            match listener.accept() {
+                Ok((stream, _)) => self.add_connection(stream),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.queued_since = None;
+                    return;
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return self.pause_accepting(listener),
+            }
+        }
+        self.queued_since.get_or_insert(self.arrivals.arrived_after);
+    }
+
+    /// Accepts the connections that are queued and then closes the listener. Returns `false` if some of them
+    /// still wait for room.
+    ///
+    /// A connection that the kernel accepted for this host is reset when the host exits, and the request on
+    /// it is lost. A client whose connection is refused tries another host.
+    fn close_listener(&mut self, listener: &TcpListener) -> bool {
+        self.accept(listener);
+        if self.queued_since.is_some() {
+            return false;
+        }
+        self.mailbox.poller.remove(listener);
+        pearfork_net::shut_listener(listener);
+        true
+    }
+
+    /// Pauses accepting for a moment.
+    fn pause_accepting(&mut self, listener: &TcpListener) {
+        self.queued_since.get_or_insert(self.arrivals.arrived_after);
+        self.accept_paused_until = Some(self.clock.now_ms() + ACCEPT_PAUSE_MS);
+        let _ = self.mailbox.poller.change(listener, LISTENER_TOKEN, Want::Nothing);
+    }
+
+    fn add_connection(&mut self, stream: TcpStream) {
+        self.last_id += 1;
+        let (id, now) = (self.last_id, self.clock.now_ms());
+        let (evicted, still_in_table) = {
+            let mut table = lock(&self.table);
+            let evicted = table.add(now, id);
+            (evicted, evicted.is_some_and(|v| table.contains(v)))
+        };
+        match evicted {
+            Some(new_id) if new_id == id => return,
+            // Unread data on the evicted connection may be a request, which is owed an answer.
+            Some(evicted) if still_in_table && self.has_unread(evicted) => {}
+            Some(evicted) if still_in_table => self.close(evicted),
+            Some(evicted) => self.handle_event(evicted, Event::Evicted),
+            None => {}
+        }
+        // Data that Nagle's algorithm holds back would be lost if the connection is reset.
+        let _ = stream.set_nodelay(true);
+        let write_buffer = WriteBuffer::new(stream, &self.flusher);
+        let client = Arc::new(Client::new(id, write_buffer, self.mailbox.clone(), self.table.clone()));
+        if self.mailbox.poller.add(client.write_buffer.stream(), id, Want::Read).is_err() {
+            lock(&self.table).remove(id);
+            return;
+        }
+        let decoder = CommandDecoder::new(request::COMMAND_LIMITS);
+        let (arrived_after, unread_since) = (now, self.queued_since);
+        let connection =
+            Connection { client, decoder, lifecycle: Lifecycle::default(), arrived_after, unread_since };
+        self.connections.insert(id, connection);
+        // Reads what arrived while the connection was queued, so that later data is not dated back to that
+        // wait.
+        self.resume(id);
+    }
+
+    fn has_unread(&self, id: ClientId) -> bool {
+        self.connections.get(&id).is_some_and(|c| c.client.has_unread())
+    }
+
+    /// Closes a connection: accepted commands are answered, then incoming data is discarded for a while.
+    fn close(&mut self, id: ClientId) {
+        let now = self.clock.now_ms();
+        lock(&self.table).begin_close(now, id);
+        if let Some(c) = self.connections.get(&id) {
+            c.client.stop_accepting();
+        }
+        self.handle_event(id, Event::Close);
+        self.advance_close(id);
+    }
+
+    /// Moves a connection that is being closed through its remaining states as far as possible.
+    fn advance_close(&mut self, id: ClientId) {
+        while let Some(c) = self.connections.get(&id) {
+            match c.lifecycle.state() {
+                State::AwaitingReplies if !c.client.has_open_commands() => {
+                    self.handle_event(id, Event::AllAnswered)
+                }
+                State::Flushing(_) if c.client.write_buffer.kept() == 0 => {
+                    lock(&self.table).set_flushing(id, false);
+                    self.handle_event(id, Event::Flushed);
+                }
+                State::Flushing(_) => return lock(&self.table).set_flushing(id, true),
+                _ => return,
+            }
+        }
+    }
+
+    /// Passes an event to the state machine of a connection.
+    fn handle_event(&mut self, id: ClientId, event: Event) {
+        let now = self.clock.now_ms();
+        let is_shutting_down = self.shutdown.close_idle.load(Ordering::SeqCst);
+        let linger = if is_shutting_down { SHUTDOWN_LINGER_MS } else { LINGER_MS };
+        let Some(c) = self.connections.get_mut(&id) else { return };
+        let before = c.lifecycle;
+        let effect = c.lifecycle.handle(now, linger, event);
+        if c.lifecycle != before {
+            tracing::debug!(
+                client = id,
+                ?event,
+                from = ?before.state(),
+                to = ?c.lifecycle.state(),
+                "connection"
+            );
+        }
+        match effect {
+            Effect::None => {}
+            Effect::ShutdownWrite => c.client.write_buffer.end_sending(),
+            Effect::Close => return self.remove(id),
+        }
+        let lifecycle = c.lifecycle;
+        if before.reads() && !lifecycle.reads() {
+            c.unread_since.get_or_insert(now);
+        }
+        if before.reads() != lifecycle.reads() {
+            let want = if lifecycle.reads() { Want::Read } else { Want::Nothing };
+            let _ = self.mailbox.poller.change(c.client.write_buffer.stream(), id, want);
+        }
+        if lifecycle.is_closing()
+            || lifecycle.state() == State::AtRequestLimit
+            || lifecycle.next_due().is_some()
+        {
+            self.need_attention.insert(id);
+        } else {
+            self.need_attention.remove(&id);
+        }
+    }
+
+    /// Removes a connection that is closed.
+    fn remove(&mut self, id: ClientId) {
+        lock(&self.table).remove(id);
+        self.need_attention.remove(&id);
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.mailbox.poller.remove(connection.client.write_buffer.stream());
+        let has_open_commands = connection.client.has_open_commands();
+        connection.client.disconnect();
+        if has_open_commands {
+            let _ = self.engine.send(Message::ClientDisconnected(id));
+        }
+    }
+
+    /// Handles a connection that has data or has ended.
+    fn handle_ready(&mut self, ready: Ready, chunk: &mut [u8]) {
+        let id = ready.token;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.lifecycle.reads() {
+            // The end of a connection is seen even while it is not read; otherwise its waiting requests would
+            // be sent for a client that has disconnected.
+            if ready.ended {
+                self.handle_event(id, Event::Disconnected);
+            }
+            return;
+        }
+        match connection.client.write_buffer.read_now(chunk) {
+            Ok(None) => connection.unread_since = None,
+            Ok(Some(0)) | Err(_) => self.handle_event(id, Event::Disconnected),
+            // The client sends a request that arrives now once more on another connection; executed here, it
+            // would run twice.
+            Ok(Some(n)) if connection.lifecycle.is_closing() => self.handle_event(id, Event::Discarded(n)),
+            Ok(Some(n)) => {
+                let arrived_after = self.arrivals.arrived_after;
+                connection.arrived_after =
+                    connection.unread_since.take().map_or(arrived_after, |at| at.min(arrived_after));
+                connection.decoder.buffer().extend_from_slice(&chunk[..n]);
+                self.accept_commands(id);
+            }
+        }
+    }
+
+    /// Accepts the commands that were received, as far as the connection allows.
+    fn accept_commands(&mut self, id: ClientId) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|c| c.lifecycle.accepts_commands())
+        else {
+            return;
+        };
+        match connection.accept_commands(&self.table, &self.schema, &self.engine, self.clock) {
+            Accepted::All => {}
+            Accepted::AtLimit => self.handle_event(id, Event::LimitReached),
+            Accepted::Pause(until) => self.handle_event(id, Event::Pause(until)),
+            Accepted::Close => self.close(id),
+        }
+    }
+}
+
+impl Connection {
+    /// Accepts complete commands.
+    fn accept_commands(
+        &mut self,
+        table: &Mutex<ClientTable>,
+        schema: &RequestSchema,
+        engine: &Sender<Message>,
+        clock: Clock,
+    ) -> Accepted {
+        let client = &self.client;
+        while client.can_accept_command() {
+            let args = match self.decoder.next_command() {
+                Ok(Some(args)) => args,
+                Ok(None) => {
+                    if self.decoder.has_partial() {
+                        lock(table).partial_received(clock.now_ms(), client.id);
+                    }
+                    return Accepted::All;
+                }
+                Err(error) => {
+                    // The frame boundary is lost, so this error is the last reply on the connection.
+                    client.reply(client.reserve_slot(), error_reply(&format!("Protocol error: {error}")));
+                    let _ = engine.send(Message::InvalidCommand);
+                    return Accepted::Close;
+                }
+            };
+            let (now, arrived_at) = (clock.now_ms(), self.arrived_after);
+            if !lock(table).command_received(now, client.id) {
+                return Accepted::Close;
+            }
+            let slot = client.reserve_slot();
+            match request::parse(&args, schema) {
+                Ok(ClientCommand::Request(request)) => {
+                    // The engine only goes away together with the host.
+                    if engine
+                        .send(Message::Request { client: client.clone(), slot, request, arrived_at })
+                        .is_err()
+                    {
+                        return Accepted::Close;
+                    }
+                }
+                Ok(ClientCommand::Ping) => {
+                    client.reply(slot, write::bytes(|out| write::simple(out, "PONG")));
+                    lock(table).command_answered(now, client.id);
+                }
+                Err(error) => {
+                    client.reply(slot, error_reply(&error.to_string()));
+                    let after = {
+                        let mut table = lock(table);
+                        table.command_answered(now, client.id);
+                        table.invalid_command(client.id)
+                    };
+                    let _ = engine.send(Message::InvalidCommand);
+                    return match after {
+                        AfterError::Pause(ms) => Accepted::Pause(now + ms as f64),
+                        AfterError::Close => Accepted::Close,
+                    };
+                }
+            }
+        }
+        Accepted::AtLimit
+    }
+}
+
+fn error_reply(text: &str) -> Bytes {
+    write::bytes(|out| write::error(out, &format!("ERR {text}")))
+}
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,19 +1,25 @@
-//! A host in the platform's service: the platform's protocol on `std::net` sockets around the decisions.
+//! A host of the platform's service: its protocol on `std::net` sockets, with the scheduler between clients
+//! and nodes.
 //!
-//! `front` takes client connections and reads them all in one thread, `client` is one of them, `links` are the connections
-//! to nodes, read by another, `watch` follows discovery, `engine` is the one thread that owns the driver of the module,
-//! and [`Service`] puts them together. The number of threads is the same whatever the number of connections. What a request gets is
-//! the module's word; which connections stay and carry what is decided in `pearfork_platform`.
+//! - `client_reader`: the thread that accepts and reads all client connections.
+//! - `client`: one client connection.
+//! - `links`: the connections to nodes and the thread that reads them.
+//! - `watch`: the thread that follows discovery.
+//! - `engine`: the thread that owns the driver of the scheduler.
+//! - [`Service`]: starts and stops all of these.
+//!
+//! The number of threads does not depend on the number of connections. The scheduler decides about requests;
+//! `pearfork_platform` decides which connections are kept and which of them carry attempts.
 
 mod client;
+mod client_reader;
+mod counters;
 mod engine;
-mod front;
 mod links;
-mod pauses;
 mod service;
-mod tally;
+mod test_hooks;
 mod watch;
 
-#[cfg(feature = "pauses")]
-pub use pauses::{Hold, Point, Prepare};
 pub use service::{Service, ServiceError};
+#[cfg(feature = "pauses")]
+pub use test_hooks::{ConnectHook, Point, PointHook};
