--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -3,9 +3,9 @@
 //! `cargo bench -p pearfork-gateway --bench relay` prints a table for `docs/results/`. The gateway is a process of
 //! its own, so that its processor time, memory and threads are its alone. No figure here is a test.
 
-mod bed;
+mod harness;
 
-use bed::{free_node, load, settings, At, Gateway, QUICKSTART};
+use harness::{free_node, load, settings, At, Gateway, QUICKSTART};
 use pearfork::{AttemptOutcome, AttemptResult, Event, ListKind, NodeEntry, Request, Scheduler};
 use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::InitiatorConfig;
--- a/crates/gateway/benches/rules.rs
+++ b/crates/gateway/benches/rules.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo bench -p pearfork-gateway --bench rules` prints a table for `docs/results/`. No figure here is a test.
 
-mod bed;
+mod harness;
 
-use bed::{free_node, load, settings, Gateway};
+use harness::{free_node, load, settings, Gateway};
 use pearfork_host::settings::HostSettings;
 use pearfork_scsi::MediaOp;
 use std::time::Duration;
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -1,12 +1,12 @@
 //! The program under a limit of descriptors that the system enforces, while more idle clients than that connect and
 //! discovery is down: what it needs for itself, for nodes and for usual clients is there by count.
 
-mod program;
+mod service_harness;
 
 use pearfork_platform::clients::{max_client_connections, max_node_connections};
-use program::agent::{Agent, Manner};
-use program::crowd::Crowd;
-use program::{
+use service_harness::fake_discovery::{Agent, Manner};
+use service_harness::idle_clients::Crowd;
+use service_harness::{
     answered, ask, config, connect, free, get, line, list, node, node_that_hears, ready_after, until,
     whole_list, Program, SERVED,
 };
--- a/crates/gateway/tests/many_nodes.rs
+++ b/crates/gateway/tests/many_nodes.rs
@@ -1,9 +1,9 @@
 //! The whole program before as many nodes as the platform may list: 3,200, with five classes of requests.
 
-mod program;
+mod service_harness;
 
 use pearfork_net::http::Server;
-use program::{
+use service_harness::{
     answered, ask, config, connect, discovery, free, line, node, ready_after, until, whole_list, Program,
 };
 use std::net::SocketAddr;
--- a/crates/gateway/tests/restarts.rs
+++ b/crates/gateway/tests/restarts.rs
@@ -1,13 +1,13 @@
 //! Thirty processes of the program started at once, killed and started again, while discovery is no help; and processes that
 //! are ended before they are ready.
 
-mod program;
+mod service_harness;
 
-use program::agent::{Agent, Manner};
-use program::{
+use rustix::process::Signal;
+use service_harness::fake_discovery::{Agent, Manner};
+use service_harness::{
     answered, ask, config, connect, free, get, list, node_that_hears, reads, until, HeardAll, Program, SERVED,
 };
-use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::process::ExitStatusExt;
@@ -96,7 +96,7 @@
     }
     assert!((1..=MOST_THREADS).contains(&threads), "{threads} threads");
     assert!((1..=MOST_MEMORY_KB).contains(&memory), "{memory} kB");
-    let mut ids: Vec<u64> = heard.lock().unwrap().iter().map(program::Heard::id).collect();
+    let mut ids: Vec<u64> = heard.lock().unwrap().iter().map(service_harness::Heard::id).collect();
     ids.retain(|id| *id >= first_id);
     ids.sort_unstable();
     let expected: Vec<u64> = (first_id..).take(starts.len()).collect();
--- a/crates/gateway/tests/service.rs
+++ b/crates/gateway/tests/service.rs
@@ -1,10 +1,10 @@
 //! `pearfork-gateway service` as the platform starts it: a fleet of 1,024 hosts in the settings, lists of 1,100 nodes, bad
 //! files and lists with requests in work, signals that cross.
 
-mod program;
+mod service_harness;
 
-use program::{answered, ask, connect, discovery, free, list, node, write_config, Program, SERVED};
 use rustix::process::Signal;
+use service_harness::{answered, ask, connect, discovery, free, list, node, write_config, Program, SERVED};
 use std::io::Read;
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
--- a/crates/gateway/tests/program/mod.rs
+++ b/crates/gateway/tests/service_harness/mod.rs
@@ -1,8 +1,8 @@
 //! `pearfork-gateway service` as the platform starts it, and what stands round it: nodes, discovery, clients, on loopback.
 #![allow(dead_code)]
 
-pub mod agent;
-pub mod crowd;
+pub mod fake_discovery;
+pub mod idle_clients;
 pub mod shims;
 
 use pearfork_net::http::{Answer, Server};
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -2,10 +2,10 @@
 //!
 //! `SOAK_SEEDS=1..51 cargo test -p pearfork-gateway --test soak -- --nocapture` plays other seeds than CI does.
 
-mod program;
-mod soak_world;
+mod service_harness;
+mod soak_harness;
 
-use soak_world::plan::Plan;
+use soak_harness::scenario::Plan;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
@@ -35,7 +35,7 @@
                     return;
                 }
                 let plan = Plan::draw(seed);
-                let report = soak_world::play(&plan);
+                let report = soak_harness::play(&plan);
                 println!("{}", report.line(&plan));
                 broken.lock().unwrap().extend(report.broken.iter().map(|b| format!("seed {seed}: {b}")));
             });
--- a/crates/gateway/tests/soak_world/client.rs
+++ b/crates/gateway/tests/soak_harness/client.rs
@@ -1,6 +1,6 @@
 //! Usual clients: they ask, wait, send once more what crossed an end, and leave now and then.
 
-use super::plan::Draw;
+use super::scenario::Draw;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/gateway/tests/soak_world/mod.rs
+++ b/crates/gateway/tests/soak_harness/mod.rs
@@ -2,16 +2,16 @@
 
 pub mod client;
 pub mod node;
-pub mod plan;
+pub mod scenario;
 
-use crate::program::agent::{Agent, Manner as Telling};
-use crate::program::crowd::Crowd;
-use crate::program::shims::Shims;
-use crate::program::{config, free, line, ready_after, whole_list, Program};
+use crate::service_harness::fake_discovery::{Agent, Manner as Telling};
+use crate::service_harness::idle_clients::Crowd;
+use crate::service_harness::shims::Shims;
+use crate::service_harness::{config, free, line, ready_after, whole_list, Program};
 use client::{Asked, End, Manner};
 use node::{Attempt, Attempts, Node};
-use plan::{Plan, Signals};
 use rustix::process::Signal;
+use scenario::{Plan, Signals};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/gateway/tests/soak_world/node.rs
+++ b/crates/gateway/tests/soak_harness/node.rs
@@ -1,6 +1,6 @@
 //! Nodes that misbehave on the wire, and note every command with the moment of its last byte.
 
-use super::plan::Draw;
+use super::scenario::Draw;
 use pearfork_resp::{Command, CommandDecoder, CommandLimits};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/gateway/tests/soak_world/plan.rs
+++ b/crates/gateway/tests/soak_harness/scenario.rs
@@ -1,6 +1,6 @@
 //! What is drawn for a play.
 
-use crate::program::shims::Failure;
+use crate::service_harness::shims::Failure;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use rustix::io::Errno;
--- a/crates/gateway/tests/pieces.rs
+++ b/crates/gateway/tests/split_requests_and_reload.rs
@@ -1,13 +1,13 @@
 //! Requests that come in pieces, whatever the pieces are; and a new configuration while nodes drain and requests are in work.
 
-mod program;
+mod service_harness;
 
-use program::agent::{Agent, Manner};
-use program::{
+use rustix::process::Signal;
+use service_harness::fake_discovery::{Agent, Manner};
+use service_harness::{
     answered, config, connect, free, get, line, list, node_that_echoes, node_that_hears, reads, until,
     whole_list, Heard, HeardAll, Program, SERVED,
 };
-use rustix::process::Signal;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
--- a/crates/gateway/tests/edge.rs
+++ b/crates/gateway/tests/system_faults.rs
@@ -1,14 +1,14 @@
 //! The whole program at the edge of its system: calls that fail as Linux documents, a log that can't be written, a wall
 //! clock that is an hour off or set while it runs.
 
-mod program;
+mod service_harness;
 
-use program::shims::{start_with_full_log, Failure, Shims, Window};
-use program::{
-    ask, config, connect, discovery, free, line, node_that_echoes, ready_after, whole_list, HeardAll, Program,
-};
 use rustix::io::Errno;
 use rustix::process::Signal;
+use service_harness::shims::{start_with_full_log, Failure, Shims, Window};
+use service_harness::{
+    ask, config, connect, discovery, free, line, node_that_echoes, ready_after, whole_list, HeardAll, Program,
+};
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
