--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,5 @@
-//! `pearfork-gateway`: serves volumes to iSCSI initiators.
+//! `pearfork-gateway`: serves volumes to iSCSI initiators (`serve`) and the platform's own protocol
+//! (`service`).
 
 mod service;
 mod signals;
@@ -15,8 +16,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A storage gateway that schedules a host's reads and writes over storage nodes. Exit codes: 0 fine, 1 it stopped before
-/// all that was taken had an answer, 2 the input or the machine does not allow it.
+/// A storage gateway that schedules a host's reads and writes over storage nodes. Exit codes: 0 success, 1
+/// stopped before every accepted request had its final answer, 2 invalid input or a resource that the system
+/// does not grant.
 #[derive(Parser)]
 #[command(name = "pearfork-gateway", version, about)]
 struct Arguments {
@@ -38,33 +40,34 @@
     Serve {
         #[command(flatten)]
         settings: SettingsArguments,
-        /// Listen here instead of where the settings say; the same as `--set host.listen=ADDRESS`.
+        /// Listen at this address, as with `--set host.listen=ADDRESS`.
         #[arg(long)]
         listen: Option<SocketAddr>,
-        /// Start only if the settings have this fingerprint, as `pearfork-check files` told it.
+        /// Start only if the settings have this fingerprint, which `pearfork-check files` prints.
         #[arg(long)]
         expect: Option<String>,
     },
-    /// Serve on the platform's protocol, by the JSON configuration that the platform names in ROUTER_CONFIG, until SIGTERM
-    /// or SIGINT; SIGHUP reads it anew.
+    /// Serve the platform's protocol, with the JSON configuration file that the platform names in
+    /// ROUTER_CONFIG, until SIGTERM or SIGINT; SIGHUP reloads the file.
     Service {
-        /// Configuration file; what ROUTER_CONFIG names, if not given.
+        /// Configuration file; by default the one that ROUTER_CONFIG names.
         #[arg(long)]
         config: Option<std::path::PathBuf>,
     },
 }
 
-/// What is told when something happens.
+/// A change in the program's state that is written to standard output.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
-enum Told<'a> {
+enum LifecycleEvent<'a> {
     Listening {
         address: SocketAddr,
         http: Option<SocketAddr>,
         settings: String,
         volumes: Vec<VolumeLine<'a>>,
     },
-    MatchingTakenAnew,
+    #[serde(rename = "matching-taken-anew")]
+    MatchingReloaded,
     Stopping {
         why: &'a str,
     },
@@ -80,66 +83,71 @@
 }
 
 fn main() -> ExitCode {
-    pearfork_cli::run(work)
+    pearfork_cli::run(run_command)
 }
 
-fn work(arguments: Arguments) -> Result<Exit, String> {
+fn run_command(arguments: Arguments) -> Result<Exit, String> {
     let output = arguments.common.output;
     match arguments.command {
         Command::Serve { mut settings, listen, expect } => {
-            settings.set.extend(listen.map(|at| format!("host.listen=\"{at}\"")));
+            settings.set.extend(listen.map(|address| format!("host.listen=\"{address}\"")));
             serve(&settings, expect.as_deref(), output)
         }
         Command::Service { config } => service::serve(config, &signals::watch().map_err(|e| e.to_string())?),
     }
 }
 
-/// A plan from the settings; what the operator is to be told goes to standard error.
-fn load(settings: &SettingsArguments) -> Result<HostSettings, String> {
-    let plan = HostSettings::load_with(&settings.config, &settings.over())
+/// Loads the settings and prints their warnings to standard error.
+fn load_settings(settings: &SettingsArguments) -> Result<HostSettings, String> {
+    let host_settings = HostSettings::load_with(&settings.config, &settings.over())
         .map_err(|e| format!("the settings are refused\n{e}"))?;
-    plan.warnings.iter().for_each(|w| eprintln!("{w}"));
-    Ok(plan)
+    host_settings.warnings.iter().for_each(|w| eprintln!("{w}"));
+    Ok(host_settings)
 }
 
-/// The embedded nodes that the settings ask for.
-fn embedded(plan: &HostSettings) -> Result<Option<Fleet>, String> {
-    let Some(e) = &plan.embedded else { return Ok(None) };
-    let longest = plan.scheduler.classes.iter().map(|c| c.window_ms).fold(0.0, f64::max);
+/// Starts the nodes of the `embedded` table, if the settings have one.
+fn start_embedded_nodes(host_settings: &HostSettings) -> Result<Option<Fleet>, String> {
+    let Some(embedded) = &host_settings.embedded else { return Ok(None) };
+    let longest_window_ms = host_settings.scheduler.classes.iter().map(|c| c.window_ms).fold(0.0, f64::max);
     let spec = FleetSpec {
-        count: e.nodes,
+        count: embedded.nodes,
         racks: 1,
         replicas: 1,
-        cores: e.cores,
-        waiting: e.waiting,
-        work: e.work.duration(),
+        cores: embedded.cores,
+        waiting: embedded.waiting,
+        work: embedded.work.duration(),
         deferred: 0.0,
-        repeats_dropped: Duration::from_secs_f64(longest / 1_000.0),
+        repeats_dropped: Duration::from_secs_f64(longest_window_ms / 1_000.0),
     };
-    Fleet::start(&spec, &plan.scheduler, plan.directory, Duration::ZERO, &Recorder::off())
+    Fleet::start(&spec, &host_settings.scheduler, host_settings.directory, Duration::ZERO, &Recorder::off())
         .map(Some)
-        .map_err(|e| format!("embedded nodes, directory at {}: {e}", plan.directory))
+        .map_err(|e| format!("embedded nodes, directory at {}: {e}", host_settings.directory))
 }
 
 fn serve(settings: &SettingsArguments, expect: Option<&str>, output: Output) -> Result<Exit, String> {
-    let plan = load(settings)?;
-    let fingerprint = plan.provenance.fingerprint();
-    // Danger: a file, an include or a variable that changed between the check and the start.
+    let host_settings = load_settings(settings)?;
+    let fingerprint = host_settings.provenance.fingerprint();
+    // A file, an include or an environment variable may have changed since `pearfork-check` read the
+    // settings.
     if let Some(expect) = expect.filter(|e| *e != fingerprint) {
         return Err(format!(
-            "the settings have the fingerprint {fingerprint}, not {expect}: they are not the ones checked"
+            "the settings have the fingerprint {fingerprint}, expected {expect}: they changed after the check"
         ));
     }
-    let fleet = embedded(&plan)?;
+    let embedded_nodes = start_embedded_nodes(&host_settings)?;
     let signals = signals::watch().map_err(|e| e.to_string())?;
-    let host = Host::start(plan).map_err(|e| e.to_string())?;
-    announce(&host, fingerprint, output);
+    let host = Host::start(host_settings).map_err(|e| e.to_string())?;
+    report_listening(&host, fingerprint, output);
     let why = loop {
         select! {
             recv(signals) -> signal => match signal {
-                Ok(SIGHUP) => match load(settings).and_then(|new| host.update_matching(&new).map_err(|e| e.to_string())) {
-                    Ok(()) => output.put(&Told::MatchingTakenAnew, "matching rules taken anew\n"),
-                    Err(e) => eprintln!("pearfork-gateway: the old matching rules stay\n{e}"),
+                Ok(SIGHUP) => match load_settings(settings)
+                    .and_then(|new| host.update_matching(&new).map_err(|e| e.to_string()))
+                {
+                    Ok(()) => output.put(&LifecycleEvent::MatchingReloaded, "matching rules reloaded\n"),
+                    Err(e) => {
+                        eprintln!("pearfork-gateway: matching rules not reloaded, the previous ones stay in force\n{e}")
+                    }
                 },
                 Ok(SIGINT) => break "interrupt",
                 _ => break "terminate",
@@ -147,28 +155,28 @@
             recv(host.drain_requests()) -> _ => break "drain",
         }
     };
-    let words = format!("stopping ({why}): what was taken is answered first\n");
-    output.put(&Told::Stopping { why }, &words);
-    let idle = host.stop();
-    drop(fleet);
-    if !idle {
-        eprintln!("pearfork-gateway: some commands had no answer when the time to drain was over");
+    let text = format!("stopping ({why}) once the accepted requests are answered\n");
+    output.put(&LifecycleEvent::Stopping { why }, &text);
+    let all_answered = host.stop();
+    drop(embedded_nodes);
+    if !all_answered {
+        eprintln!("pearfork-gateway: some requests had no final answer within `transport.drain`");
         return Ok(Exit::No);
     }
     Ok(Exit::Fine)
 }
 
-fn announce(host: &Host, fingerprint: String, output: Output) {
-    let mut words = format!("listening on {}, settings {fingerprint}\n", host.address());
-    let line = |v: &pearfork_host::volumes::Volume| {
+fn report_listening(host: &Host, fingerprint: String, output: Output) {
+    let mut text = format!("listening on {}, settings {fingerprint}\n", host.address());
+    let volume_text = |v: &pearfork_host::volumes::Volume| {
         format!(
             "  volume {}: {} LUN {}, {} blocks of {}\n",
             v.name, v.target, v.lun, v.unit.blocks, v.unit.block_len
         )
     };
-    words.extend(host.settings().volumes.iter().map(line));
+    text.extend(host.settings().volumes.iter().map(volume_text));
     if let Some(http) = host.http_address() {
-        words += &format!("  health, metrics, nodes, volumes: http://{http}/\n");
+        text += &format!("  health, metrics, nodes, volumes: http://{http}/\n");
     }
     let volumes = host.settings().volumes.iter().map(|v| VolumeLine {
         name: &v.name,
@@ -177,11 +185,11 @@
         blocks: v.unit.blocks,
         block: v.unit.block_len,
     });
-    let told = Told::Listening {
+    let event = LifecycleEvent::Listening {
         address: host.address(),
         http: host.http_address(),
         settings: fingerprint,
         volumes: volumes.collect(),
     };
-    output.put(&told, &words);
+    output.put(&event, &text);
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals of the process, as a channel.
+//! Delivers the signals of the process over a channel.
 //!
-//! A thread of its own waits for them. A wait that fails for a moment is made again: what ends this thread leaves a host
-//! that can't be told to leave, or one that leaves untold.
+//! A dedicated thread waits for signals and retries a wait that fails. If the thread ended, the receiver
+//! would see a closed channel: the host would shut down without a signal, or ignore later ones.
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_net::get_to_start;
@@ -12,50 +12,52 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// Signals that wait to be handled at the most.
-const MOST_WAITING: usize = 16;
-/// Pause before a wait that failed is made again.
-const AGAIN: Duration = Duration::from_millis(5);
-/// How often signals are looked for though nothing woke this thread: the send that wakes it, in the signal's handler, may
-/// have failed.
-const LOOK: Duration = Duration::from_millis(50);
+/// Capacity of the channel of signals that are not handled yet.
+const QUEUE_CAPACITY: usize = 16;
+/// Delay before a failed wait is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Interval at which pending signals are polled even if nothing wakes the thread: the signal handler wakes it
+/// with a send on a socket, and that send can fail.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-type Delivery = SignalDelivery<UnixStream, SignalOnly>;
+type Signals = SignalDelivery<UnixStream, SignalOnly>;
 
-/// SIGTERM, SIGINT and SIGHUP as they come.
+/// Returns a channel that receives SIGTERM, SIGINT and SIGHUP.
 ///
 /// # Errors
-/// No descriptor or thread could be had.
+/// The system grants no descriptor or thread.
 pub fn watch() -> io::Result<Receiver<i32>> {
-    let mut delivery = get_to_start(begin)?;
-    let (to, from) = bounded(MOST_WAITING);
+    let mut signals = get_to_start(register)?;
+    let (sender, receiver) = bounded(QUEUE_CAPACITY);
     std::thread::Builder::new()
         .name("signals".to_owned())
         .stack_size(64 << 10)
-        .spawn(move || while pass_on(&mut delivery, &to) {})?;
-    Ok(from)
+        .spawn(move || while forward_pending(&mut signals, &sender) {})?;
+    Ok(receiver)
 }
 
-fn begin() -> io::Result<Delivery> {
+fn register() -> io::Result<Signals> {
     let (read, write) = UnixStream::pair()?;
-    read.set_read_timeout(Some(LOOK))?;
+    read.set_read_timeout(Some(POLL_INTERVAL))?;
     SignalDelivery::with_pipe(read, write, SignalOnly, [SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Waits for signals once and passes them on; false where nobody listens any more.
-fn pass_on(delivery: &mut Delivery, to: &Sender<i32>) -> bool {
-    match delivery.poll_pending(&mut has_signals) {
-        Ok(Some(mut pending)) => pending.all(|signal| to.send(signal).is_ok()),
+/// Waits for signals once and sends them to the channel; false if the receiver or the signals' own socket is
+/// closed.
+fn forward_pending(signals: &mut Signals, sender: &Sender<i32>) -> bool {
+    match signals.poll_pending(&mut has_signals) {
+        Ok(Some(mut pending)) => pending.all(|signal| sender.send(signal).is_ok()),
         Ok(None) => false,
         Err(error) => {
-            tracing::warn!(%error, "signals can't be waited for; trying again");
-            std::thread::sleep(AGAIN);
+            tracing::warn!(%error, "waiting for signals failed; retrying");
+            std::thread::sleep(RETRY_DELAY);
             true
         }
     }
 }
 
-/// Waits until a signal may have come.
+/// Waits until a signal may be pending: a byte has arrived, or the poll interval is over. False at end of
+/// file.
 fn has_signals(read: &mut UnixStream) -> io::Result<bool> {
     match read.read(&mut [0u8]) {
         Ok(n) => Ok(n > 0),
--- a/crates/gateway/tests/check_agreement.rs
+++ b/crates/gateway/tests/check_agreement.rs
@@ -150,7 +150,7 @@
     };
     // A variable counts: this one gives what is the default anyway, and is another text all the same.
     let (_, why) = start(&fingerprint);
-    assert!(why.contains("they are not the ones checked"), "{why}");
+    assert!(why.contains("they changed after the check"), "{why}");
     let with = Overrides::new(
         vec![("PEARFORK__TRANSPORT__DRAIN".to_owned(), "5s".to_owned())],
         vec!["host.listen=\"127.0.0.1:0\"".to_owned()],
@@ -162,7 +162,7 @@
     std::fs::write(folder.0.join("base.toml"), rest.replace("drain_grace = \"2s\"", "drain_grace = \"3s\""))
         .unwrap();
     let (first, why) = start(&fingerprint);
-    assert!(first.is_empty() && why.contains("they are not the ones checked"), "{first}{why}");
+    assert!(first.is_empty() && why.contains("they changed after the check"), "{first}{why}");
 }
 
 /// A text with one thing changed, as a tired hand or a bad merge would.
--- a/crates/gateway/tests/matching.rs
+++ b/crates/gateway/tests/matching.rs
@@ -107,10 +107,10 @@
     hear("health, metrics");
     std::fs::write(&rules, good.replace("64KiB", "32KiB")).unwrap();
     hang_up();
-    hear("matching rules taken anew");
+    hear("matching rules reloaded");
     std::fs::write(&rules, good.replace("64KiB", "64")).unwrap();
     hang_up();
-    hear("the old matching rules stay");
+    hear("matching rules not reloaded, the previous ones stay in force");
     hear("a size is compared with a number");
     std::fs::remove_file(&rules).unwrap();
     hang_up();
--- a/crates/gateway/tests/service.rs
+++ b/crates/gateway/tests/service.rs
@@ -35,7 +35,7 @@
         ask(&mut client, 200 + seq);
         assert_eq!(answered(&mut client), SERVED);
     }
-    host.says("the old configuration stays");
+    host.says("configuration not reloaded, the previous one stays in force");
     host.says("hosts[0].");
     host.says("going on with the list as it is");
     let after = host.threads_and_descriptors();
@@ -63,9 +63,9 @@
     let whole = std::fs::read(&file).unwrap();
     std::fs::write(&file, &whole[..whole.len() / 2]).unwrap();
     host.signal(Signal::HUP);
-    host.says("the old configuration stays");
+    host.says("configuration not reloaded, the previous one stays in force");
     std::fs::write(&file, &whole).unwrap();
-    host.says("configuration read anew");
+    host.says("configuration reloaded");
     ask(&mut client, 2);
     assert_eq!(answered(&mut client), SERVED);
 }
