--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts, nodes and a plain initiator on loopback.
+//! Test environment of `pearfork_host`: hosts, fake nodes and an initiator in one process, on loopback.
 #![allow(dead_code)]
 
 use pearfork_day::{figures, judge_notes};
@@ -14,108 +14,124 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub const HOSTS: &str = include_str!("../../../day/days/bad-day-hosts.toml");
-/// Wide enough for a machine that pauses.
-pub const LONG: Duration = Duration::from_secs(10);
+pub const SETTINGS: &str = include_str!("../../../day/days/bad-day-hosts.toml");
+/// Longest wait for an expected event, with room for pauses of the machine.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-pub fn anywhere() -> SocketAddr {
+/// Loopback with port 0.
+pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-pub struct World {
-    pub plan: HostSettings,
+/// Hosts with fake nodes and their directory. The recorder notes the traffic, which the rules are checked
+/// against.
+pub struct TestEnv {
+    pub settings: HostSettings,
     pub fleet: Fleet,
     pub hosts: Vec<Host>,
     pub recorder: Recorder,
 }
 
-impl World {
-    pub fn new(hosts: u16) -> World {
-        Self::with(hosts, &FleetSpec::default(), HOSTS)
+impl TestEnv {
+    /// Hosts with the default nodes and [`SETTINGS`].
+    pub fn new(hosts: u16) -> TestEnv {
+        Self::with(hosts, &FleetSpec::default(), SETTINGS)
     }
 
-    pub fn with(hosts: u16, spec: &FleetSpec, settings: &str) -> World {
-        let mut plan = HostSettings::from_toml(settings).unwrap_or_else(|e| panic!("{e}"));
-        plan.scheduler.hosts = u32::from(hosts);
-        plan.volumes.iter_mut().for_each(|v| v.hosts = u32::from(hosts));
+    pub fn with(hosts: u16, spec: &FleetSpec, settings_text: &str) -> TestEnv {
+        let mut settings = HostSettings::from_toml(settings_text).unwrap_or_else(|e| panic!("{e}"));
+        settings.scheduler.hosts = u32::from(hosts);
+        settings.volumes.iter_mut().for_each(|v| v.hosts = u32::from(hosts));
         let recorder = Recorder::default();
-        let fleet = Fleet::start(spec, &plan.scheduler, anywhere(), Duration::ZERO, &recorder).unwrap();
-        let mut world = World { plan, fleet, hosts: Vec::new(), recorder };
-        (0..hosts).for_each(|number| world.add_host(number));
-        world
+        let fleet = Fleet::start(spec, &settings.scheduler, any_port(), Duration::ZERO, &recorder).unwrap();
+        let mut env = TestEnv { settings, fleet, hosts: Vec::new(), recorder };
+        (0..hosts).for_each(|number| env.add_host(number));
+        env
     }
 
+    /// Starts a host and waits until it has a node list.
     pub fn add_host(&mut self, number: u16) {
-        let mut own = self.plan.clone();
-        (own.number, own.seed) = (number, Some(u64::from(number) + 7));
-        (own.listen, own.http) = (anywhere(), Some(anywhere()));
-        own.directory = self.fleet.directory().address();
-        let host = Host::start(own).unwrap();
-        // The first list is had when health says that a node is ready.
+        let mut settings = self.settings.clone();
+        (settings.number, settings.seed) = (number, Some(u64::from(number) + 7));
+        (settings.listen, settings.http) = (any_port(), Some(any_port()));
+        settings.directory = self.fleet.directory().address();
+        let host = Host::start(settings).unwrap();
+        // `/health` answers 200 once the first list has been received and a node of it is ready.
         let http = host.http_address().unwrap();
-        eventually("a node list", || {
+        wait_until("a node list", || {
             pearfork_net::http::get(http, "/health", ms(2000)).is_ok_and(|(status, _)| status == 200)
         });
         self.hosts.push(host);
     }
 
-    pub fn rules(&self) -> Report {
-        judge_notes(&self.recorder.notes(), &self.plan, figures::of_plan(&self.plan, 500.0, 0.0)).report
+    /// Checks the rules against the recorded traffic.
+    pub fn check_rules(&self) -> Report {
+        judge_notes(&self.recorder.notes(), &self.settings, figures::of_plan(&self.settings, 500.0, 0.0))
+            .report
     }
 
-    pub fn assert_rules(&self) {
-        let report = self.rules();
+    pub fn assert_rules_kept(&self) {
+        let report = self.check_rules();
         assert!(report.kept(), "\n{report}");
     }
 
-    pub fn asker(&self, host: usize, volume: usize) -> Asker {
-        Asker::open(self.hosts[host].address(), &self.recorder, host as u16, &self.plan, volume, 1)
-            .expect("a login")
+    /// Opens a session to a volume of a host.
+    pub fn initiator(&self, host: usize, volume: usize) -> TestInitiator {
+        TestInitiator::open(
+            self.hosts[host].address(),
+            &self.recorder,
+            host as u16,
+            &self.settings,
+            volume,
+            1,
+        )
+        .expect("a login")
     }
 
-    /// Effects noted by nodes.
-    pub fn applied(&self) -> usize {
+    /// The number of writes that nodes have applied.
+    pub fn applied_count(&self) -> usize {
         self.recorder.notes().iter().filter(|n| matches!(n.what, What::Applied { .. })).count()
     }
 }
 
-/// Waits until something holds, far longer than it should take.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LONG;
+/// Polls a condition until it holds; panics after [`TIMEOUT`].
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let until = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "never: {what}");
+        assert!(Instant::now() < until, "time-out waiting for {what}");
         std::thread::sleep(ms(5));
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Number(pub u32);
+pub struct CommandId(pub u32);
 
-impl Token for Number {}
+impl Token for CommandId {}
 
-/// A plain initiator.
-pub struct Asker {
-    pub connection: Arc<Connection<Number>>,
-    events: Receiver<ConnectionEvent<Number>>,
-    unit: u16,
-    next: std::cell::Cell<u32>,
+/// An initiator with one session.
+pub struct TestInitiator {
+    pub connection: Arc<Connection<CommandId>>,
+    events: Receiver<ConnectionEvent<CommandId>>,
+    lun: u16,
+    next_id: std::cell::Cell<u32>,
 }
 
-impl Asker {
+impl TestInitiator {
+    /// Logs in to a volume; `isid` tells the sessions of one initiator name apart.
     pub fn open(
         address: SocketAddr,
         recorder: &Recorder,
         host: u16,
-        plan: &HostSettings,
+        settings: &HostSettings,
         volume: usize,
         isid: u8,
-    ) -> Result<Asker, pearfork_net::ConnectError> {
-        let (to, events) = channel();
-        let volume = &plan.volumes[volume];
+    ) -> Result<TestInitiator, pearfork_net::ConnectError> {
+        let (sender, events) = channel();
+        let volume = &settings.volumes[volume];
         let config = InitiatorConfig {
             name: "iqn.2026-12.org.example:asker".to_owned(),
             target: Some(volume.target.clone()),
@@ -124,56 +140,57 @@
             extension: false,
         };
         let tap = recorder.tap(Place::Client { host }, |_, _, _| {}).map(|t| (t, 0));
-        let tell = move |e| drop(to.send(e));
-        let connection = Connection::open(address, config, LONG, TapRef(tap), tell)?;
-        Ok(Asker { connection, events, unit: volume.lun, next: std::cell::Cell::new(1) })
+        let on_event = move |e| drop(sender.send(e));
+        let connection = Connection::open(address, config, TIMEOUT, TapRef(tap), on_event)?;
+        Ok(TestInitiator { connection, events, lun: volume.lun, next_id: std::cell::Cell::new(1) })
     }
 
-    /// Sends without waiting; its number.
-    pub fn send(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> Number {
+    /// Sends a command without waiting for its completion.
+    pub fn submit(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandId {
         let media = Media { op, lba, blocks, fua: false, group: 0 };
-        let number = Number(self.next.get());
-        self.next.set(number.0 + 1);
+        let id = CommandId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
         let command = Command {
-            lun: lun_field(self.unit),
+            lun: lun_field(self.lun),
             cdb: media.to_cdb(),
             read_len: media.data_in(512) as u32,
             data: Payload::from(data),
             ext: None,
         };
-        self.connection.submit(number, command).expect("an open session");
-        number
+        self.connection.submit(id, command).expect("an open session");
+        id
     }
 
-    pub fn event(&self) -> ConnectionEvent<Number> {
-        self.events.recv_timeout(LONG).expect("an event")
+    pub fn next_event(&self) -> ConnectionEvent<CommandId> {
+        self.events.recv_timeout(TIMEOUT).expect("an event")
     }
 
-    /// The next command to end.
-    pub fn done(&self) -> (Number, CommandDone) {
-        match self.event() {
-            ConnectionEvent::Done(number, done) => (number, *done),
+    /// Waits for the next command that completes.
+    pub fn next_completion(&self) -> (CommandId, CommandDone) {
+        match self.next_event() {
+            ConnectionEvent::Done(id, done) => (id, *done),
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn ask(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandDone {
-        let number = self.send(op, lba, blocks, data);
-        let (ended, done) = self.done();
-        assert_eq!(ended, number);
+    /// Sends a command and waits for its completion.
+    pub fn execute(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandDone {
+        let id = self.submit(op, lba, blocks, data);
+        let (completed, done) = self.next_completion();
+        assert_eq!(completed, id);
         done
     }
 
     pub fn write(&self, lba: u64, blocks: u32, fill: u8) -> CommandDone {
-        self.ask(MediaOp::Write, lba, blocks, vec![fill; blocks as usize * 512])
+        self.execute(MediaOp::Write, lba, blocks, vec![fill; blocks as usize * 512])
     }
 
     pub fn read(&self, lba: u64, blocks: u32) -> CommandDone {
-        self.ask(MediaOp::Read, lba, blocks, Vec::new())
+        self.execute(MediaOp::Read, lba, blocks, Vec::new())
     }
 }
 
-/// Status and sense key.
-pub fn ended(d: &CommandDone) -> (u8, u8) {
-    (d.status, pearfork_scsi::Sense::key_and_code(&d.sense).map_or(0, |k| k.0))
+/// Status and sense key; 0 without sense data.
+pub fn status_and_sense(done: &CommandDone) -> (u8, u8) {
+    (done.status, pearfork_scsi::Sense::key_and_code(&done.sense).map_or(0, |k| k.0))
 }
