--- a/crates/gateway/tests/check_agreement.rs
+++ b/crates/gateway/tests/check_agreement.rs
@@ -1,5 +1,5 @@
-//! The checker and a starting host say the same of every file: a corpus with at least one file for each rule and each
-//! kind of fault, and a thousand files made from good ones by a seeded hand that breaks things.
+//! `pearfork-check` and a starting host agree on every settings file: on a corpus with at least one file for
+//! each rule and each kind of error, and on a thousand seeded random mutations of valid files.
 
 use pearfork_check::{file, file_with, Kind, Verdict};
 use pearfork_host::settings::{HostSettings, Overrides};
@@ -33,41 +33,43 @@
     want: String,
 }
 
-struct Folder(PathBuf);
+/// A temporary folder; removed when it is dropped.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("pearfork-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 
-    fn write(&self, text: &str) -> PathBuf {
+    fn write_settings(&self, text: &str) -> PathBuf {
         let path = self.0.join("host.toml");
         std::fs::write(&path, text).unwrap();
         path
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The quickstart with replacements, on ports that are free.
-fn made(case: &Case) -> String {
-    let free = || TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).unwrap().to_string();
+/// The quickstart settings with the replacements of a case and with unused ports.
+fn settings_of(case: &Case) -> String {
+    let unused_address =
+        || TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).unwrap().to_string();
     let mut text = QUICKSTART.to_owned();
     for (from, to) in &case.replace {
         assert!(text.contains(from.as_str()), "{}: {from}", case.name);
         text = text.replacen(from.as_str(), to, 1);
     }
-    text.replace("127.0.0.1:9300", &free()).replace("http = \"127.0.0.1:9180\"", "")
+    text.replace("127.0.0.1:9300", &unused_address()).replace("http = \"127.0.0.1:9180\"", "")
 }
 
-/// What a gateway says when it is started: whether it listens, and its words on standard error.
-fn started(path: &Path) -> (bool, String) {
+/// Starts the gateway; returns whether it listens, and its standard error.
+fn start_gateway(path: &Path) -> (bool, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pearfork-gateway"))
         .args(["serve", "--json=false", "--listen", "127.0.0.1:0", "--config"])
         .arg(path)
@@ -75,39 +77,40 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut first = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut first).unwrap();
-    let listens = first.starts_with("listening on");
+    let mut first_line = String::new();
+    BufReader::new(child.stdout.take().unwrap()).read_line(&mut first_line).unwrap();
+    let listens = first_line.starts_with("listening on");
     if listens {
         child.kill().unwrap();
     }
-    let out = child.wait_with_output().unwrap();
-    assert!(listens || out.status.code() == Some(2), "{:?}", out.status);
-    (listens, String::from_utf8(out.stderr).unwrap())
+    let output = child.wait_with_output().unwrap();
+    assert!(listens || output.status.code() == Some(2), "{:?}", output.status);
+    (listens, String::from_utf8(output.stderr).unwrap())
 }
 
-/// What the checker says of a file as [`started`] starts it: its flags are layers like any other.
-fn checked(path: &Path) -> Verdict {
+/// The checker's verdict on a file with the flags of [`start_gateway`], which count as a layer of the
+/// settings.
+fn check_as_started(path: &Path) -> Verdict {
     file_with(path, &Overrides::new(Vec::new(), vec!["host.listen=\"127.0.0.1:0\"".to_owned()]))
 }
 
 #[test]
-fn the_checker_and_a_started_host_agree_on_a_corpus_word_for_word() {
+fn checker_and_starting_host_report_the_same_text_for_each_corpus_file() {
     let corpus: Corpus = toml::from_str(include_str!("corpus.toml")).unwrap();
-    let folder = Folder::new("corpus");
+    let folder = TempFolder::new("corpus");
     for case in &corpus.good {
-        let path = folder.write(&made(case));
-        let checked = self::checked(&path);
+        let path = folder.write_settings(&settings_of(case));
+        let checked = check_as_started(&path);
         assert!(checked.right && checked.kind == Some(Kind::Settings), "{}: {}", case.name, checked.faults);
-        let (listens, told) = started(&path);
-        assert!(listens, "{}: {told}", case.name);
-        // Warnings are the same too.
-        assert_eq!(told.trim_end(), checked.warnings.join("\n").trim_end(), "{}", case.name);
+        let (listens, stderr) = start_gateway(&path);
+        assert!(listens, "{}: {stderr}", case.name);
+        // The warnings are the same too.
+        assert_eq!(stderr.trim_end(), checked.warnings.join("\n").trim_end(), "{}", case.name);
     }
     let mut rules = BTreeSet::new();
     for case in &corpus.broken {
-        let path = folder.write(&made(case));
-        let checked = self::checked(&path);
+        let path = folder.write_settings(&settings_of(case));
+        let checked = check_as_started(&path);
         assert!(!checked.right, "{}", case.name);
         assert!(checked.faults.contains(&case.want), "{}: {}", case.name, checked.faults);
         if case.rule > 0 {
@@ -119,20 +122,24 @@
             );
             rules.insert(case.rule);
         }
-        let (listens, told) = started(&path);
-        assert!(!listens && told.contains(&checked.faults), "{}:\n{told}\n{}", case.name, checked.faults);
+        let (listens, stderr) = start_gateway(&path);
+        assert!(!listens && stderr.contains(&checked.faults), "{}:\n{stderr}\n{}", case.name, checked.faults);
     }
-    assert_eq!(rules.into_iter().collect::<Vec<_>>(), [1, 2, 3, 4, 5, 6, 7], "a broken file for each rule");
+    assert_eq!(
+        rules.into_iter().collect::<Vec<_>>(),
+        [1, 2, 3, 4, 5, 6, 7],
+        "each rule needs an invalid file"
+    );
 }
 
 #[test]
-fn settings_that_changed_between_the_check_and_the_start_are_not_started_by() {
-    let folder = Folder::new("expect");
-    let text = made(&Case { name: String::new(), replace: Vec::new(), rule: 0, want: String::new() });
+fn a_host_does_not_start_with_settings_that_changed_after_the_check() {
+    let folder = TempFolder::new("expect");
+    let text = settings_of(&Case { name: String::new(), replace: Vec::new(), rule: 0, want: String::new() });
     let (head, rest) = text.split_at(text.find("[rules]").unwrap());
     std::fs::write(folder.0.join("base.toml"), rest).unwrap();
-    let path = folder.write(&format!("include = [\"base.toml\"]\n{head}"));
-    let fingerprint = checked(&path).fingerprint.unwrap();
+    let path = folder.write_settings(&format!("include = [\"base.toml\"]\n{head}"));
+    let fingerprint = check_as_started(&path).fingerprint.unwrap();
     let start = |expect: &str| {
         let mut child = Command::new(env!("CARGO_BIN_EXE_pearfork-gateway"))
             .args(["serve", "--json", "--listen", "127.0.0.1:0", "--expect", expect, "--config"])
@@ -142,52 +149,56 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let mut first = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut first).unwrap();
+        let mut first_line = String::new();
+        BufReader::new(child.stdout.take().unwrap()).read_line(&mut first_line).unwrap();
         child.kill().unwrap();
-        let out = child.wait_with_output().unwrap();
-        (first, String::from_utf8(out.stderr).unwrap())
+        let output = child.wait_with_output().unwrap();
+        (first_line, String::from_utf8(output.stderr).unwrap())
     };
-    // A variable counts: this one gives what is the default anyway, and is another text all the same.
-    let (_, why) = start(&fingerprint);
-    assert!(why.contains("they changed after the check"), "{why}");
-    let with = Overrides::new(
+    // An environment variable counts, although this one holds the default: it is another layer of the text.
+    let (_, stderr) = start(&fingerprint);
+    assert!(stderr.contains("they changed after the check"), "{stderr}");
+    let overrides = Overrides::new(
         vec![("PEARFORK__TRANSPORT__DRAIN".to_owned(), "5s".to_owned())],
         vec!["host.listen=\"127.0.0.1:0\"".to_owned()],
     );
-    let fingerprint = file_with(&path, &with).fingerprint.unwrap();
-    let (first, why) = start(&fingerprint);
-    assert!(first.contains("\"event\":\"listening\"") && first.contains(&fingerprint), "{first}{why}");
-    // The include changes: the file itself does not, and still it is another plan.
+    let fingerprint = file_with(&path, &overrides).fingerprint.unwrap();
+    let (first_line, stderr) = start(&fingerprint);
+    assert!(
+        first_line.contains("\"event\":\"listening\"") && first_line.contains(&fingerprint),
+        "{first_line}{stderr}"
+    );
+    // An included file changes, while the file itself stays as it is.
     std::fs::write(folder.0.join("base.toml"), rest.replace("drain_grace = \"2s\"", "drain_grace = \"3s\""))
         .unwrap();
-    let (first, why) = start(&fingerprint);
-    assert!(first.is_empty() && why.contains("they changed after the check"), "{first}{why}");
+    let (first_line, stderr) = start(&fingerprint);
+    assert!(first_line.is_empty() && stderr.contains("they changed after the check"), "{first_line}{stderr}");
 }
 
-/// A text with one thing changed, as a tired hand or a bad merge would.
-fn mutant(good: &[String], random: &mut Pcg64Mcg) -> String {
+/// One of the valid texts with one to three random changes, of the kind that typing errors and bad merges
+/// make.
+fn mutate(valid: &[String], random: &mut Pcg64Mcg) -> String {
     let mut below = |n: usize| (random.next_u64() % n.max(1) as u64) as usize;
-    let text = &good[below(good.len())];
+    let text = &valid[below(valid.len())];
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
     for _ in 0..1 + below(3) {
         let at = below(lines.len());
-        let other = lines[below(lines.len())].clone();
+        let other_line = lines[below(lines.len())].clone();
         let line = lines[at].clone();
         let digits = line.find(|c: char| c.is_ascii_digit());
         match below(9) {
             0 => drop(lines.remove(at)),
             1 => lines.insert(at, line),
-            2 => lines[at] = other,
+            2 => lines[at] = other_line,
             3 => lines[at] = line.replacen("s\"", "\"", 1),
             4 if digits.is_some() => lines[at] = line.replacen(|c: char| c.is_ascii_digit(), "0", 1),
             5 if digits.is_some() => lines[at] = line.replacen(|c: char| c.is_ascii_digit(), "97", 1),
             6 => lines[at] = line.replacen("ms", "s", 1),
             7 => {
-                let words: Vec<&str> = other.split('"').collect();
+                let quoted: Vec<&str> = other_line.split('"').collect();
                 let from = line.split('"').nth(1).unwrap_or("").to_owned();
-                if words.len() > 1 && !from.is_empty() {
-                    lines[at] = line.replacen(&from, words[1], 1);
+                if quoted.len() > 1 && !from.is_empty() {
+                    lines[at] = line.replacen(&from, quoted[1], 1);
                 }
             }
             _ => {
@@ -203,41 +214,46 @@
 }
 
 #[test]
-fn a_thousand_broken_hands_get_the_same_verdict_from_the_checker_and_from_a_host() {
+fn checker_and_host_agree_on_a_thousand_mutated_files() {
     let corpus: Corpus = toml::from_str(include_str!("corpus.toml")).unwrap();
-    let good: Vec<String> = corpus.good.iter().map(made).collect();
-    let folder = Folder::new("mutants");
+    let valid: Vec<String> = corpus.good.iter().map(settings_of).collect();
+    let folder = TempFolder::new("mutations");
     let mut random = Pcg64Mcg::seed_from_u64(12);
-    let (mut right, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for n in 0..1000 {
-        let text = mutant(&good, &mut random);
-        let path = folder.write(&text);
+        let text = mutate(&valid, &mut random);
+        let path = folder.write_settings(&text);
         let checked = file(&path);
         match HostSettings::load(&path) {
-            Ok(mut plan) => {
+            Ok(mut host_settings) => {
                 assert!(
                     checked.right,
-                    "mutant {n}: the host takes it, the checker says {}\n{text}",
+                    "mutation {n}: the host accepts it, the checker reports {}\n{text}",
                     checked.faults
                 );
-                // What the machine refuses, ports above all, is another matter.
-                let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-                (plan.listen, plan.http, plan.directory) = (anywhere, None, ([127, 0, 0, 1], 9).into());
-                let host = Host::start(plan);
+                // Errors of the machine, such as ports in use, are not part of the comparison.
+                let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+                (host_settings.listen, host_settings.http, host_settings.directory) =
+                    (any_port, None, ([127, 0, 0, 1], 9).into());
+                let host = Host::start(host_settings);
                 assert!(
                     host.is_ok(),
-                    "mutant {n}: checked as right and not started: {:?}\n{text}",
+                    "mutation {n}: the checker accepts it, the host does not start: {:?}\n{text}",
                     host.err()
                 );
-                right += 1;
+                accepted += 1;
             }
-            Err(faults) => {
-                // A day in place of settings would be taken for one; the mutants keep their [host].
-                assert!(!checked.right, "mutant {n}: the checker takes it, the host says {faults}\n{text}");
-                assert_eq!(checked.faults, faults.to_string(), "mutant {n}");
-                refused += 1;
+            Err(errors) => {
+                // The checker would take a file without `[host]` for another kind; no mutation removes that
+                // line from all.
+                assert!(
+                    !checked.right,
+                    "mutation {n}: the checker accepts it, the host reports {errors}\n{text}"
+                );
+                assert_eq!(checked.faults, errors.to_string(), "mutation {n}");
+                rejected += 1;
             }
         }
     }
-    assert!(right > 100 && refused > 300, "{right} right, {refused} refused");
+    assert!(accepted > 100 && rejected > 300, "{accepted} accepted, {rejected} rejected");
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Hosts as processes that divide a limit among them, with troubles between them; the rules proved from the sockets.
+//! Host processes that share a limit among them while faults are injected; the rules are checked against the
+//! traffic on their sockets.
 
 use pearfork_day::script::Day;
 use pearfork_day::summary::Summary;
@@ -9,76 +10,79 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// One day at a time: on a small machine two would be each other's trouble.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held during a scenario: on a small machine two at once would disturb each other.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 const SETTINGS: &str = include_str!("../../trial/days/hosts.toml");
 
-fn played(name: &str, day: &str, clocks: &[(u16, f64)]) -> (Summary, DayResult) {
-    let _turn = TURN.lock().unwrap_or_else(|e| e.into_inner());
-    let mut day = Day::from_toml(day).unwrap_or_else(|e| panic!("{name}: {e}"));
-    // Rules are held to what the sockets saw. How much is served is for machines that nobody shares: here half is enough.
-    day.day.margin = pearfork_host::units::Span::from_ms(1_000.0);
-    for e in day.expect.iter_mut().filter(|e| e.at_least > 0.0) {
+/// Runs a scenario file and asserts that no rule is broken. `clocks` holds the clock rate of hosts whose
+/// clock is wrong.
+fn run_scenario(name: &str, scenario: &str, clocks: &[(u16, f64)]) -> (Summary, DayResult) {
+    let _lock = RUN_LOCK.lock().unwrap_or_else(|e| e.into_inner());
+    let mut scenario = Day::from_toml(scenario).unwrap_or_else(|e| panic!("{name}: {e}"));
+    // The rules are checked in full. How much is served depends on the load of the machine: half is required.
+    scenario.day.margin = pearfork_host::units::Span::from_ms(1_000.0);
+    for e in scenario.expect.iter_mut().filter(|e| e.at_least > 0.0) {
         e.at_least = 0.5;
     }
-    let plan = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
+    let host_settings = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
     let folder = tempfile::tempdir().unwrap();
-    let mut crew = Processes::new(Program {
+    let mut processes = Processes::new(Program {
         gateway: env!("CARGO_BIN_EXE_pearfork-gateway").into(),
         settings: SETTINGS.to_owned(),
         folder: folder.path().to_owned(),
         clocks: clocks.iter().copied().collect(),
     });
-    let result = play(&day, &plan, &mut crew, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
+    let result =
+        play(&scenario, &host_settings, &mut processes, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
     let summary = Summary::of(&result);
-    assert!(summary.right, "{name}\n{}{}", summary.words(plain()), logs(folder.path()));
+    assert!(summary.right, "{name}\n{}{}", summary.words(plain_output()), host_warnings(folder.path()));
     let limits = result.rules.of(Rule::Limits).unwrap();
-    assert!(limits.checks > 100, "{name}: nothing to judge");
+    assert!(limits.checks > 100, "{name}: too few checks of the limits");
     (summary, result)
 }
 
-fn plain() -> pearfork_cli::Output {
+fn plain_output() -> pearfork_cli::Output {
     pearfork_cli::Output { json: Some(false), color: pearfork_cli::Color::Never }
 }
 
-/// What hosts said that was no news.
-fn logs(folder: &Path) -> String {
-    let mut out = String::new();
+/// The last eight warnings and errors in the log of each host.
+fn host_warnings(folder: &Path) -> String {
+    let mut text = String::new();
     for host in 0..7 {
-        let text = std::fs::read_to_string(folder.join(format!("host-{host}/log"))).unwrap_or_default();
-        let told: Vec<&str> = text.lines().filter(|l| l.contains("WARN") || l.contains("ERROR")).collect();
-        out += &format!("host {host}:\n{}\n", told[told.len().saturating_sub(8)..].join("\n"));
+        let log = std::fs::read_to_string(folder.join(format!("host-{host}/log"))).unwrap_or_default();
+        let warnings: Vec<&str> = log.lines().filter(|l| l.contains("WARN") || l.contains("ERROR")).collect();
+        text += &format!("host {host}:\n{}\n", warnings[warnings.len().saturating_sub(8)..].join("\n"));
     }
-    out
+    text
 }
 
 #[test]
-fn a_limit_follows_its_load_from_host_to_host() {
-    played("moves", include_str!("../../trial/days/moves.toml"), &[]);
+fn the_shares_of_a_limit_follow_its_load_from_host_to_host() {
+    run_scenario("moves", include_str!("../../trial/days/moves.toml"), &[]);
 }
 
 #[test]
-fn what_dead_hosts_had_is_lent_again_and_never_twice() {
-    played("deaths", include_str!("../../trial/days/deaths.toml"), &[]);
+fn the_shares_of_dead_hosts_are_lent_again_and_never_twice() {
+    run_scenario("deaths", include_str!("../../trial/days/deaths.toml"), &[]);
 }
 
 #[test]
-fn broken_links_lend_nothing_twice() {
-    played("cuts", include_str!("../../trial/days/cuts.toml"), &[]);
+fn network_partitions_lend_no_share_twice() {
+    run_scenario("cuts", include_str!("../../trial/days/cuts.toml"), &[]);
 }
 
 #[test]
-fn processes_that_stood_still_send_nothing_by_leases_that_are_over() {
-    played("stops", include_str!("../../trial/days/stops.toml"), &[(4, 1.2), (6, 0.9)]);
+fn suspended_processes_send_nothing_under_expired_leases() {
+    run_scenario("stops", include_str!("../../trial/days/stops.toml"), &[(4, 1.2), (6, 0.9)]);
 }
 
 #[test]
-fn voters_whose_disks_fail_stop_lending_and_go_on_serving() {
-    played("disks", include_str!("../../trial/days/disks.toml"), &[]);
+fn voters_with_failed_disks_stop_lending_and_continue_to_serve() {
+    run_scenario("disks", include_str!("../../trial/days/disks.toml"), &[]);
 }
 
 #[test]
-fn without_voters_the_floors_are_left() {
-    played("nobody votes", include_str!("../../trial/days/nobody-votes.toml"), &[]);
+fn without_voters_hosts_keep_their_floors() {
+    run_scenario("nobody votes", include_str!("../../trial/days/nobody-votes.toml"), &[]);
 }
