--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -1,14 +1,15 @@
-//! The program under a limit of descriptors that the system enforces, while more idle clients than that connect and
-//! discovery is down: what it needs for itself, for nodes and for usual clients is there by count.
+//! The program under a limit of open descriptors that the system enforces, while more idle clients than that
+//! connect and discovery is down. Descriptors for discovery, nodes and active clients are reserved.
 
 mod service_harness;
 
 use pearfork_platform::clients::{max_client_connections, max_node_connections};
-use service_harness::fake_discovery::{Agent, Manner};
-use service_harness::idle_clients::Crowd;
+use service_harness::fake_discovery::{DiscoveryBehavior, FakeDiscovery};
+use service_harness::idle_clients::IdleClients;
 use service_harness::{
-    answered, ask, config, connect, free, get, line, list, node, node_that_hears, ready_after, until,
-    whole_list, Program, SERVED,
+    config, connect, full_list, get_command, list_with_one_live_node, node_line, read_reply, send_get,
+    start_node, start_recording_node, unused_address, wait_until, wait_until_ready, GatewayProcess,
+    SERVED_REPLY,
 };
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,61 +19,69 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A new process is ready within this time.
-const READY: Duration = Duration::from_secs(10);
-/// Discovery that is back is heard within this time; what it has counts as told a second later.
-const HEARD: Duration = Duration::from_secs(5);
-/// Idle clients beyond the limit of descriptors.
-const BEYOND: usize = 32;
-/// Usual clients, and what each of them asks at once.
-const USUAL: u64 = 4;
-/// How often usual clients ask.
-const BETWEEN: Duration = Duration::from_millis(100);
+/// Longest time until a new process, or a running one for a new client, answers PING.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest time from discovery's return until its list is in use; a list takes effect a second after it is
+/// received.
+const LIST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Idle clients in excess of the limit of descriptors.
+const EXCESS_CLIENTS: usize = 32;
+/// Clients that send requests.
+const ACTIVE_CLIENTS: u64 = 4;
+/// Interval at which active clients send requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Counts the descriptors of the program for as long as it lives.
-struct Count {
-    most: Arc<Mutex<usize>>,
-    over: Arc<AtomicBool>,
+/// Samples the number of open descriptors of the program until it is dropped.
+struct DescriptorMonitor {
+    peak: Arc<Mutex<usize>>,
+    is_stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Count {
-    fn of(program: &Program) -> Count {
-        let (most, over) = (Arc::new(Mutex::new(0)), Arc::new(AtomicBool::new(false)));
-        let (seen, ended, folder) = (most.clone(), over.clone(), format!("/proc/{}/fd", program.id()));
+impl DescriptorMonitor {
+    fn start(program: &GatewayProcess) -> DescriptorMonitor {
+        let (peak, is_stopped) = (Arc::new(Mutex::new(0)), Arc::new(AtomicBool::new(false)));
+        let (shared_peak, stopped, folder) =
+            (peak.clone(), is_stopped.clone(), format!("/proc/{}/fd", program.id()));
         let thread = std::thread::spawn(move || {
-            while !ended.load(Ordering::SeqCst) {
+            while !stopped.load(Ordering::SeqCst) {
                 let now = std::fs::read_dir(&folder).map_or(0, std::iter::Iterator::count);
-                let mut most = seen.lock().unwrap();
-                *most = now.max(*most);
-                drop(most);
+                let mut peak = shared_peak.lock().unwrap();
+                *peak = now.max(*peak);
+                drop(peak);
                 std::thread::sleep(Duration::from_millis(3));
             }
         });
-        Count { most, over, thread: Some(thread) }
+        DescriptorMonitor { peak, is_stopped, thread: Some(thread) }
     }
 
-    fn most(&self) -> usize {
-        *self.most.lock().unwrap()
+    fn peak(&self) -> usize {
+        *self.peak.lock().unwrap()
     }
 }
 
-impl Drop for Count {
+impl Drop for DescriptorMonitor {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.is_stopped.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn write_limited(file: &Path, listen: SocketAddr, discovery: SocketAddr, known: &str, descriptors: usize) {
+fn write_config_with_limit(
+    file: &Path,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    known: &str,
+    descriptors: usize,
+) {
     let mut config = config(listen, discovery, known, 1);
     config["limits"]["sockets"] = descriptors.into();
     std::fs::write(file, config.to_string()).unwrap();
 }
 
-fn file_in(folder: &tempfile::TempDir) -> PathBuf {
+fn config_path(folder: &tempfile::TempDir) -> PathBuf {
     folder.path().join("config.json")
 }
 
@@ -81,22 +90,23 @@
     matches!(stream.read(&mut [0; 16]), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// When the crowd comes.
+/// When the idle clients connect.
 #[derive(Clone, Copy, PartialEq)]
-enum Comes {
-    BeforeTheProgramListens,
-    OnceItServes,
+enum IdleClientsConnect {
+    BeforeStart,
+    WhileServing,
 }
 
-/// A first request among the idle ones: one that is closed unread comes again, as clients do.
-fn first_served(address: SocketAddr, id: u64) -> TcpStream {
+/// Connects a client and sends its first request, again on a new connection if the program closes one without
+/// a reply.
+fn connect_active_client(address: SocketAddr, id: u64) -> TcpStream {
     let mut served = None;
-    until("a usual client is served", || {
+    wait_until("an active client is served", || {
         let mut stream = connect(address);
-        let sent = stream.write_all(&get(id));
-        let mut got = vec![0; SERVED.len()];
-        if sent.is_ok() && stream.read_exact(&mut got).is_ok() {
-            assert_eq!(String::from_utf8_lossy(&got), SERVED);
+        let sent = stream.write_all(&get_command(id));
+        let mut reply = vec![0; SERVED_REPLY.len()];
+        if sent.is_ok() && stream.read_exact(&mut reply).is_ok() {
+            assert_eq!(String::from_utf8_lossy(&reply), SERVED_REPLY);
             served = Some(stream);
         }
         served.is_some()
@@ -104,174 +114,221 @@
     served.unwrap()
 }
 
-/// Usual clients ask on the connections that they hold, and each is served each time.
-fn all_ask(usual: &mut [TcpStream], ids: &mut impl Iterator<Item = u64>) {
-    for stream in usual.iter_mut() {
-        ask(stream, ids.next().unwrap());
+/// Sends a request on each connection and asserts that each is served.
+fn serve_all(active: &mut [TcpStream], ids: &mut impl Iterator<Item = u64>) {
+    for stream in active.iter_mut() {
+        send_get(stream, ids.next().unwrap());
     }
-    for stream in usual.iter_mut() {
-        assert_eq!(answered(stream), SERVED);
+    for stream in active.iter_mut() {
+        assert_eq!(read_reply(stream), SERVED_REPLY);
     }
-    std::thread::sleep(BETWEEN);
+    std::thread::sleep(REQUEST_INTERVAL);
 }
 
-/// One run: idle clients beyond the descriptors, and discovery that is down and comes back with another node.
-fn crowd_while_discovery_is_down(descriptors: usize, mut agent: Agent, comes: Comes) {
+/// Runs the program with more idle clients than descriptors while discovery is down. Discovery then returns
+/// with another node, and the program is killed and started again.
+fn serve_among_idle_clients_during_discovery_outage(
+    descriptors: usize,
+    mut discovery: FakeDiscovery,
+    connect_idle: IdleClientsConnect,
+) {
     let folder = tempfile::tempdir().unwrap();
-    let (old, new) = (node(Duration::ZERO), node_that_hears(Duration::ZERO));
-    let listen = free();
-    write_limited(&file_in(&folder), listen, agent.address, &list(5, old, "a", 20), descriptors);
+    let (old, new) = (start_node(Duration::ZERO), start_recording_node(Duration::ZERO));
+    let listen = unused_address();
+    write_config_with_limit(
+        &config_path(&folder),
+        listen,
+        discovery.address,
+        &list_with_one_live_node(5, old, "a", 20),
+        descriptors,
+    );
     let mut ids = 1..;
-    let (program, crowd, mut usual) = match comes {
-        Comes::BeforeTheProgramListens => {
-            let crowd = Crowd::start(listen, descriptors + BEYOND);
+    let (program, idle_clients, mut active) = match connect_idle {
+        IdleClientsConnect::BeforeStart => {
+            let idle_clients = IdleClients::start(listen, descriptors + EXCESS_CLIENTS);
             let began = Instant::now();
-            let program = Program::start_limited(&file_in(&folder), descriptors);
-            let ready = ready_after(listen, began);
+            let program = GatewayProcess::start_limited(&config_path(&folder), descriptors);
+            let ready = wait_until_ready(listen, began);
             println!("ready among idle clients after {ready:?}");
-            assert!(ready < READY, "{ready:?}");
-            let usual: Vec<TcpStream> =
-                (0..USUAL).map(|_| first_served(listen, ids.next().unwrap())).collect();
-            (program, crowd, usual)
+            assert!(ready < READY_TIMEOUT, "{ready:?}");
+            let active: Vec<TcpStream> =
+                (0..ACTIVE_CLIENTS).map(|_| connect_active_client(listen, ids.next().unwrap())).collect();
+            (program, idle_clients, active)
         }
-        Comes::OnceItServes => {
-            let program = Program::start_limited(&file_in(&folder), descriptors);
-            let mut usual: Vec<TcpStream> = (0..USUAL).map(|_| connect(listen)).collect();
-            all_ask(&mut usual, &mut ids);
-            (program, Crowd::start(listen, descriptors + BEYOND), usual)
+        IdleClientsConnect::WhileServing => {
+            let program = GatewayProcess::start_limited(&config_path(&folder), descriptors);
+            let mut active: Vec<TcpStream> = (0..ACTIVE_CLIENTS).map(|_| connect(listen)).collect();
+            serve_all(&mut active, &mut ids);
+            (program, IdleClients::start(listen, descriptors + EXCESS_CLIENTS), active)
         }
     };
-    let count = Count::of(&program);
-    until("more idle clients than descriptors", || {
-        all_ask(&mut usual, &mut ids);
-        crowd.up() > descriptors && crowd.made() > 2 * descriptors
+    let monitor = DescriptorMonitor::start(&program);
+    wait_until("more idle clients than descriptors", || {
+        serve_all(&mut active, &mut ids);
+        idle_clients.open_count() > descriptors && idle_clients.total_count() > 2 * descriptors
     });
-    let new_client = ready_after(listen, Instant::now());
-    assert!(new_client < READY, "a new client among idle ones: {new_client:?}");
-    let back = whole_list(9, &[line("s-2", new.0, 0, "SERVING")]);
-    agent.becomes(Manner::Answers(Duration::ZERO, 9, back));
+    let new_client_ready = wait_until_ready(listen, Instant::now());
+    assert!(new_client_ready < READY_TIMEOUT, "a new client among idle ones: {new_client_ready:?}");
+    let new_list = full_list(9, &[node_line("s-2", new.0, 0, "SERVING")]);
+    discovery.set_behavior(DiscoveryBehavior::Responds(Duration::ZERO, 9, new_list));
     let returned = Instant::now();
-    until("what discovery has is taken, and its node asked", || {
-        all_ask(&mut usual, &mut ids);
+    wait_until("a request goes to the node of the new list", || {
+        serve_all(&mut active, &mut ids);
         !new.1.lock().unwrap().is_empty()
     });
-    let heard = returned.elapsed();
-    let usual_stay = usual.iter_mut().all(is_still_open);
+    let list_in_use = returned.elapsed();
+    let are_all_open = active.iter_mut().all(is_still_open);
     println!(
-        "{} of {descriptors} descriptors at the most, {} idle clients up, {} made; a new client after {new_client:?}; \
-         discovery heard after {heard:?}",
-        count.most(),
-        crowd.up(),
-        crowd.made()
+        "{} of {descriptors} descriptors at most, {} idle clients open, {} in total; a new client after \
+         {new_client_ready:?}; the new list in use after {list_in_use:?}",
+        monitor.peak(),
+        idle_clients.open_count(),
+        idle_clients.total_count()
     );
-    assert!(heard < HEARD, "{heard:?}");
-    assert!(usual_stay, "usual clients keep their connections");
-    assert!(count.most() < descriptors, "{} of {descriptors}", count.most());
-    assert!(!program.has_said("Too many open files") && !program.has_said("panicked"));
-    // Killed over all these connections, and started again while their clients come again.
-    drop((count, program));
+    assert!(list_in_use < LIST_TIMEOUT, "{list_in_use:?}");
+    assert!(are_all_open, "active clients keep their connections");
+    assert!(monitor.peak() < descriptors, "{} of {descriptors}", monitor.peak());
+    assert!(!program.has_logged("Too many open files") && !program.has_logged("panicked"));
+    // Kills the program with all these connections open, and starts it again while the clients connect again.
+    drop((monitor, program));
     let began = Instant::now();
-    let again = Program::start_limited(&file_in(&folder), descriptors);
-    let ready = ready_after(listen, began);
+    let restarted = GatewayProcess::start_limited(&config_path(&folder), descriptors);
+    let ready = wait_until_ready(listen, began);
     println!("ready again among idle clients after {ready:?}");
-    assert!(ready < READY, "{ready:?}");
-    assert!(!again.has_said("Too many open files") && !again.has_said("panicked"));
+    assert!(ready < READY_TIMEOUT, "{ready:?}");
+    assert!(!restarted.has_logged("Too many open files") && !restarted.has_logged("panicked"));
 }
 
 #[test]
-fn idle_clients_before_the_start_with_discovery_silent() {
-    crowd_while_discovery_is_down(128, Agent::start(Manner::Silent), Comes::BeforeTheProgramListens);
+fn early_idle_clients_block_no_active_client_while_discovery_hangs() {
+    serve_among_idle_clients_during_discovery_outage(
+        128,
+        FakeDiscovery::start(DiscoveryBehavior::NoResponse),
+        IdleClientsConnect::BeforeStart,
+    );
 }
 
 #[test]
-fn idle_clients_before_the_start_with_discovery_refused_and_many_descriptors() {
-    crowd_while_discovery_is_down(576, Agent::refused(), Comes::BeforeTheProgramListens);
+fn early_idle_clients_block_no_active_client_while_discovery_refuses_with_many_descriptors() {
+    serve_among_idle_clients_during_discovery_outage(
+        576,
+        FakeDiscovery::start_refusing(),
+        IdleClientsConnect::BeforeStart,
+    );
 }
 
 #[test]
-fn idle_clients_of_a_program_that_serves_with_discovery_refused() {
-    crowd_while_discovery_is_down(128, Agent::refused(), Comes::OnceItServes);
+fn late_idle_clients_block_no_active_client_while_discovery_refuses() {
+    serve_among_idle_clients_during_discovery_outage(
+        128,
+        FakeDiscovery::start_refusing(),
+        IdleClientsConnect::WhileServing,
+    );
 }
 
 #[test]
-fn idle_clients_of_a_program_that_serves_with_discovery_silent_and_many_descriptors() {
-    crowd_while_discovery_is_down(576, Agent::start(Manner::Silent), Comes::OnceItServes);
+fn late_idle_clients_block_no_active_client_while_discovery_hangs_with_many_descriptors() {
+    serve_among_idle_clients_during_discovery_outage(
+        576,
+        FakeDiscovery::start(DiscoveryBehavior::NoResponse),
+        IdleClientsConnect::WhileServing,
+    );
 }
 
-/// What is kept is enough for all that is neither a client's connection nor a node's, twice over at rest.
+/// Guards against a reserve that is too small: the descriptors that are neither a client's nor a node's
+/// connection, and the temporary ones, must fit.
 #[test]
-fn what_the_program_needs_for_itself_fits_into_what_is_kept() {
+fn descriptors_of_the_program_itself_fit_into_the_reserve() {
     let folder = tempfile::tempdir().unwrap();
-    let listen = free();
-    let serves = node(Duration::ZERO);
-    let known = list(5, serves, "a", 3);
-    let agent = Agent::start(Manner::Answers(Duration::ZERO, 5, known.clone()));
+    let listen = unused_address();
+    let live = start_node(Duration::ZERO);
+    let known = list_with_one_live_node(5, live, "a", 3);
+    let discovery = FakeDiscovery::start(DiscoveryBehavior::Responds(Duration::ZERO, 5, known.clone()));
     let descriptors = 128;
-    let kept = descriptors - max_client_connections(descriptors) - max_node_connections(descriptors);
-    write_limited(&file_in(&folder), listen, agent.address, &known, descriptors);
-    let program = Program::start_limited(&file_in(&folder), descriptors);
-    ready_after(listen, Instant::now());
-    // Those that this test has from whoever started it are not the program's own.
-    let of_its_own = |d: &String| d.starts_with("socket:") || d.starts_with("anon_inode:");
+    let reserve = descriptors - max_client_connections(descriptors) - max_node_connections(descriptors);
+    write_config_with_limit(&config_path(&folder), listen, discovery.address, &known, descriptors);
+    let program = GatewayProcess::start_limited(&config_path(&folder), descriptors);
+    wait_until_ready(listen, Instant::now());
+    // Leaves out descriptors that the program inherits from the process that runs this test.
+    let is_own = |d: &String| d.starts_with("socket:") || d.starts_with("anon_inode:");
     let mut own = Vec::new();
-    // The listener, two of the signals, and a call at discovery, which is held twice.
-    until("its clients are gone, and a call waits at discovery", || {
-        own = program.descriptors();
-        own.retain(of_its_own);
+    // The listener, the socket pair of the signals, and a request at discovery, whose socket has two descriptors.
+    wait_until("only a request at discovery is left", || {
+        own = program.descriptor_targets();
+        own.retain(is_own);
         own.iter().filter(|d| d.starts_with("socket:")).count() == 5
     });
-    let count_of = |words: &str| own.iter().filter(|d| d.contains(words)).count();
+    let count_of = |kind: &str| own.iter().filter(|d| d.contains(kind)).count();
     assert_eq!((count_of("eventpoll"), count_of("eventfd")), (2, 2), "one of each for clients and for nodes");
-    // The standard streams; and for a moment a configuration that is read anew, a connection that is accepted before
-    // another goes, and one to a node that its reader has yet.
-    let (streams, on_top) = (3, 3);
-    println!("{} and the standard streams of {kept}: {own:?}", own.len());
-    assert!(own.len() + streams + on_top <= kept, "{} of {kept}: {own:?}", own.len() + streams + on_top);
+    // The standard streams; and temporarily a configuration file that is reloaded, a connection that is
+    // accepted before another is closed, and a closed connection to a node that its reader thread still
+    // holds.
+    let (streams, temporary) = (3, 3);
+    println!("{} and the standard streams of {reserve}: {own:?}", own.len());
+    assert!(
+        own.len() + streams + temporary <= reserve,
+        "{} of {reserve}: {own:?}",
+        own.len() + streams + temporary
+    );
 }
 
-/// All that may be held is held at once: as many idle clients, and as many connections to nodes, as there is room for.
+/// Guards against a discovery request that gets no descriptor: clients and connections to nodes are as many
+/// as their limits allow.
 #[test]
-fn with_all_clients_and_all_nodes_there_is_a_descriptor_left_for_discovery() {
+fn discovery_has_a_descriptor_with_as_many_clients_and_node_connections_as_allowed() {
     let folder = tempfile::tempdir().unwrap();
-    let listen = free();
+    let listen = unused_address();
     let descriptors = 128;
-    let slow: Vec<SocketAddr> = (0..6).map(|_| node(Duration::from_millis(600))).collect();
-    let lines: Vec<String> =
-        slow.iter().enumerate().map(|(i, dial)| line(&format!("s-{i}"), *dial, 0, "SERVING")).collect();
-    let mut agent = Agent::start(Manner::Silent);
-    write_limited(&file_in(&folder), listen, agent.address, &whole_list(5, &lines), descriptors);
-    let program = Program::start_limited(&file_in(&folder), descriptors);
-    ready_after(listen, Instant::now());
-    let count = Count::of(&program);
+    let slow_nodes: Vec<SocketAddr> = (0..6).map(|_| start_node(Duration::from_millis(600))).collect();
+    let lines: Vec<String> = slow_nodes
+        .iter()
+        .enumerate()
+        .map(|(i, dial)| node_line(&format!("s-{i}"), *dial, 0, "SERVING"))
+        .collect();
+    let mut discovery = FakeDiscovery::start(DiscoveryBehavior::NoResponse);
+    write_config_with_limit(
+        &config_path(&folder),
+        listen,
+        discovery.address,
+        &full_list(5, &lines),
+        descriptors,
+    );
+    let program = GatewayProcess::start_limited(&config_path(&folder), descriptors);
+    wait_until_ready(listen, Instant::now());
+    let monitor = DescriptorMonitor::start(&program);
     let mut ids = 1..;
-    let mut usual: Vec<TcpStream> = (0..3).map(|_| connect(listen)).collect();
-    let mut all_at_once = |usual: &mut [TcpStream]| {
-        for stream in usual.iter_mut() {
-            let words: Vec<u8> = ids.by_ref().take(30).flat_map(get).collect();
-            stream.write_all(&words).unwrap();
+    let mut active: Vec<TcpStream> = (0..3).map(|_| connect(listen)).collect();
+    let mut send_thirty_each = |active: &mut [TcpStream]| {
+        for stream in active.iter_mut() {
+            let commands: Vec<u8> = ids.by_ref().take(30).flat_map(get_command).collect();
+            stream.write_all(&commands).unwrap();
         }
     };
-    all_at_once(&mut usual);
-    let crowd = Crowd::start(listen, descriptors + BEYOND);
-    until("all rooms are full", || {
-        count.most() >= max_client_connections(descriptors) + max_node_connections(descriptors)
+    send_thirty_each(&mut active);
+    let idle_clients = IdleClients::start(listen, descriptors + EXCESS_CLIENTS);
+    wait_until("both limits are reached", || {
+        monitor.peak() >= max_client_connections(descriptors) + max_node_connections(descriptors)
     });
-    println!("{} of {descriptors} descriptors, {} idle clients", count.most(), crowd.up());
-    let new = node_that_hears(Duration::ZERO);
-    agent.becomes(Manner::Answers(Duration::ZERO, 9, whole_list(9, &[line("s-9", new.0, 0, "SERVING")])));
+    println!("{} of {descriptors} descriptors, {} idle clients", monitor.peak(), idle_clients.open_count());
+    let new = start_recording_node(Duration::ZERO);
+    discovery.set_behavior(DiscoveryBehavior::Responds(
+        Duration::ZERO,
+        9,
+        full_list(9, &[node_line("s-9", new.0, 0, "SERVING")]),
+    ));
     let returned = Instant::now();
-    until("what discovery has is taken", || {
-        let mut one = first_contact(listen);
-        let _ = one.write_all(&get(1_000_000 + returned.elapsed().as_micros() as u64));
-        let _ = one.read(&mut [0; 64]);
+    wait_until("a request goes to the node of the new list", || {
+        let mut client = connect_with_short_timeout(listen);
+        let _ = client.write_all(&get_command(1_000_000 + returned.elapsed().as_micros() as u64));
+        let _ = client.read(&mut [0; 64]);
         !new.1.lock().unwrap().is_empty()
     });
-    assert!(returned.elapsed() < HEARD, "{:?}", returned.elapsed());
-    assert!(count.most() < descriptors, "{} of {descriptors}", count.most());
-    assert!(!program.has_said("Too many open files"));
+    assert!(returned.elapsed() < LIST_TIMEOUT, "{:?}", returned.elapsed());
+    assert!(monitor.peak() < descriptors, "{} of {descriptors}", monitor.peak());
+    assert!(!program.has_logged("Too many open files"));
 }
 
-fn first_contact(address: SocketAddr) -> TcpStream {
+fn connect_with_short_timeout(address: SocketAddr) -> TcpStream {
     let stream = connect(address);
     stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
     stream
--- a/crates/gateway/tests/service_harness/fake_discovery.rs
+++ b/crates/gateway/tests/service_harness/fake_discovery.rs
@@ -1,110 +1,112 @@
-//! Discovery that does on each call what a test says, and that may be moved from one behaviour to another.
+//! A fake discovery server whose response to each request a test chooses, and may change while it runs.
 
-use super::{own_address, LONG};
+use super::{test_address, TIMEOUT};
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// What becomes of a call.
+/// What happens to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// It is taken and never answered; one that is under way when the manner changes neither.
-    Silent,
-    /// It is answered with the list, after a while.
-    Answers(Duration, u64, String),
-    /// Its connection is reset.
+pub enum DiscoveryBehavior {
+    /// The request is read and never answered, not even after the behavior changes.
+    NoResponse,
+    /// After a delay, the response is a list with this sequence number.
+    Responds(Duration, u64, String),
+    /// The connection is reset.
     Resets,
 }
 
-/// Whether the address takes connections.
+/// Whether the address accepts connections.
 #[derive(Debug)]
-enum Socket {
-    /// Bound, so that nobody else has the address, and refused.
-    Refuses(Option<TcpListener>),
-    Listens,
+enum SocketState {
+    /// The socket is bound, so that no other process gets the address, but does not listen: connections are
+    /// refused.
+    Bound(Option<TcpListener>),
+    Listening,
 }
 
-type Shared = Arc<(Mutex<Manner>, Condvar)>;
+/// The behavior, and the signal that it has changed.
+type SharedBehavior = Arc<(Mutex<DiscoveryBehavior>, Condvar)>;
 
-/// Discovery at an address.
-pub struct Agent {
+/// A fake discovery server.
+pub struct FakeDiscovery {
     pub address: SocketAddr,
-    manner: Shared,
-    socket: Socket,
+    behavior: SharedBehavior,
+    socket: SocketState,
 }
 
-impl Agent {
-    /// Takes calls.
-    pub fn start(manner: Manner) -> Agent {
-        let listener = TcpListener::bind(own_address()).unwrap();
+impl FakeDiscovery {
+    /// Starts a server that accepts connections.
+    pub fn start(behavior: DiscoveryBehavior) -> FakeDiscovery {
+        let listener = TcpListener::bind(test_address()).unwrap();
         let address = listener.local_addr().unwrap();
-        let manner = Arc::new((Mutex::new(manner), Condvar::new()));
-        serve(listener, manner.clone());
-        Agent { address, manner, socket: Socket::Listens }
+        let behavior = Arc::new((Mutex::new(behavior), Condvar::new()));
+        serve(listener, behavior.clone());
+        FakeDiscovery { address, behavior, socket: SocketState::Listening }
     }
 
-    /// Refuses connections until it is told a manner.
-    pub fn refused() -> Agent {
+    /// Reserves an address that refuses connections until [`Self::set_behavior`] is called.
+    pub fn start_refusing() -> FakeDiscovery {
         let (family, kind) = (AddressFamily::INET, SocketType::STREAM);
         let socket = rustix::net::socket_with(family, kind, SocketFlags::CLOEXEC, None).unwrap();
-        rustix::net::bind(&socket, &own_address()).unwrap();
+        rustix::net::bind(&socket, &test_address()).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let manner = Arc::new((Mutex::new(Manner::Silent), Condvar::new()));
-        Agent { address, manner, socket: Socket::Refuses(Some(listener)) }
+        let behavior = Arc::new((Mutex::new(DiscoveryBehavior::NoResponse), Condvar::new()));
+        FakeDiscovery { address, behavior, socket: SocketState::Bound(Some(listener)) }
     }
 
-    /// From now on calls go so.
-    pub fn becomes(&mut self, manner: Manner) {
-        *self.manner.0.lock().unwrap() = manner;
-        self.manner.1.notify_all();
-        if let Socket::Refuses(listener) = &mut self.socket {
+    /// Sets the behavior of later requests, wakes watches, and starts to listen if connections were refused.
+    pub fn set_behavior(&mut self, behavior: DiscoveryBehavior) {
+        *self.behavior.0.lock().unwrap() = behavior;
+        self.behavior.1.notify_all();
+        if let SocketState::Bound(listener) = &mut self.socket {
             if let Some(listener) = listener.take() {
                 rustix::net::listen(&listener, 64).unwrap();
-                serve(listener, self.manner.clone());
+                serve(listener, self.behavior.clone());
             }
-            self.socket = Socket::Listens;
+            self.socket = SocketState::Listening;
         }
     }
 }
 
-fn serve(listener: TcpListener, manner: Shared) {
+fn serve(listener: TcpListener, behavior: SharedBehavior) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let manner = manner.clone();
-            std::thread::spawn(move || call(stream, &manner));
+            let behavior = behavior.clone();
+            std::thread::spawn(move || handle_request(stream, &behavior));
         }
     });
 }
 
-/// The path of a call.
-fn path_of(stream: &mut TcpStream) -> Option<String> {
+/// Reads a request's head and returns its path.
+fn read_path(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
-    let mut piece = [0; 1024];
+    let mut buffer = [0; 1024];
     while !head.windows(4).any(|w| w == b"\r\n\r\n") {
-        let n = stream.read(&mut piece).ok().filter(|n| *n > 0)?;
-        head.extend_from_slice(&piece[..n]);
+        let n = stream.read(&mut buffer).ok().filter(|n| *n > 0)?;
+        head.extend_from_slice(&buffer[..n]);
     }
     String::from_utf8_lossy(&head).split(' ').nth(1).map(str::to_owned)
 }
 
-fn call(mut stream: TcpStream, manner: &Shared) {
-    let Some(path) = path_of(&mut stream) else { return };
-    let now = manner.0.lock().unwrap().clone();
-    match now {
-        // What came while it was silent is never answered.
-        Manner::Silent => {
+fn handle_request(mut stream: TcpStream, behavior: &SharedBehavior) {
+    let Some(path) = read_path(&mut stream) else { return };
+    let current = behavior.0.lock().unwrap().clone();
+    match current {
+        // Holds the connection until the client closes it.
+        DiscoveryBehavior::NoResponse => {
             let _ = stream.read(&mut [0; 1]);
         }
-        Manner::Resets => {
+        DiscoveryBehavior::Resets => {
             let _ = rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO));
         }
-        Manner::Answers(after, seq, list) => {
-            std::thread::sleep(after);
+        DiscoveryBehavior::Responds(delay, seq, list) => {
+            std::thread::sleep(delay);
             let body = if path.contains(&format!("since={seq}&")) {
-                waits(manner, &Manner::Answers(after, seq, list), &path);
+                wait_for_change(behavior, &DiscoveryBehavior::Responds(delay, seq, list), &path);
                 format!(r#"{{"seq":{seq},"whole":false,"hosts":[]}}"#)
             } else {
                 list
@@ -115,17 +117,20 @@
     }
 }
 
-/// A watch waits for a change, for as long as it asked to.
-fn waits(manner: &Shared, known: &Manner, path: &str) {
-    let asked =
-        path.split("timeout_ms=").nth(1).and_then(|ms| ms.parse().ok()).map_or(LONG, Duration::from_millis);
-    let end = Instant::now() + asked.min(LONG);
-    let mut now = manner.0.lock().unwrap();
-    while *now == *known {
+/// Blocks a watch until the behavior changes, at most for the time-out in its path.
+fn wait_for_change(behavior: &SharedBehavior, known: &DiscoveryBehavior, path: &str) {
+    let timeout = path
+        .split("timeout_ms=")
+        .nth(1)
+        .and_then(|ms| ms.parse().ok())
+        .map_or(TIMEOUT, Duration::from_millis);
+    let end = Instant::now() + timeout.min(TIMEOUT);
+    let mut current = behavior.0.lock().unwrap();
+    while *current == *known {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return;
         }
-        now = manner.1.wait_timeout(now, left).unwrap().0;
+        current = behavior.1.wait_timeout(current, left).unwrap().0;
     }
 }
--- a/crates/gateway/tests/service_harness/idle_clients.rs
+++ b/crates/gateway/tests/service_harness/idle_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that connect, say nothing, and come again when they are closed.
+//! Clients that connect, send nothing, and connect again when the program closes them.
 
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
@@ -7,59 +7,59 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Between two looks at all of them.
-const LOOK: Duration = Duration::from_millis(100);
-/// Longest wait for one connection to come up.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Interval at which closed connections are found and replaced.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for one connection to be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The crowd; it leaves with its value.
-pub struct Crowd {
+/// A fixed number of idle clients on a thread of their own; all disconnect when this is dropped.
+pub struct IdleClients {
     state: Arc<State>,
     thread: Option<JoinHandle<()>>,
 }
 
 #[derive(Default)]
 struct State {
-    over: AtomicBool,
-    /// Connections that are up, those in the accept queue included.
-    up: AtomicUsize,
-    /// Connections that were ever made.
-    made: AtomicUsize,
+    is_stopped: AtomicBool,
+    /// Open connections, including those in the accept queue.
+    open: AtomicUsize,
+    /// Connections made since the start.
+    total: AtomicUsize,
 }
 
-impl Crowd {
-    pub fn start(address: SocketAddr, size: usize) -> Crowd {
+impl IdleClients {
+    pub fn start(address: SocketAddr, size: usize) -> IdleClients {
         let state = Arc::new(State::default());
         let shared = state.clone();
         let thread = std::thread::spawn(move || {
             let mut streams: Vec<TcpStream> = Vec::new();
-            while !shared.over.load(Ordering::SeqCst) {
+            while !shared.is_stopped.load(Ordering::SeqCst) {
                 streams.retain(is_open);
-                while streams.len() < size && !shared.over.load(Ordering::SeqCst) {
-                    let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT) else { break };
+                while streams.len() < size && !shared.is_stopped.load(Ordering::SeqCst) {
+                    let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else { break };
                     stream.set_nonblocking(true).unwrap();
                     streams.push(stream);
-                    shared.made.fetch_add(1, Ordering::SeqCst);
+                    shared.total.fetch_add(1, Ordering::SeqCst);
                 }
-                shared.up.store(streams.len(), Ordering::SeqCst);
-                std::thread::sleep(LOOK);
+                shared.open.store(streams.len(), Ordering::SeqCst);
+                std::thread::sleep(POLL_INTERVAL);
             }
         });
-        Crowd { state, thread: Some(thread) }
+        IdleClients { state, thread: Some(thread) }
     }
 
-    pub fn up(&self) -> usize {
-        self.state.up.load(Ordering::SeqCst)
+    pub fn open_count(&self) -> usize {
+        self.state.open.load(Ordering::SeqCst)
     }
 
-    pub fn made(&self) -> usize {
-        self.state.made.load(Ordering::SeqCst)
+    pub fn total_count(&self) -> usize {
+        self.state.total.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.state.over.store(true, Ordering::SeqCst);
+        self.state.is_stopped.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/gateway/tests/service_harness/mod.rs
+++ b/crates/gateway/tests/service_harness/mod.rs
@@ -1,4 +1,5 @@
-//! `pearfork-gateway service` as the platform starts it, and what stands round it: nodes, discovery, clients, on loopback.
+//! Test environment of `pearfork-gateway service`: the program as a process, with fake nodes, discovery and
+//! clients on loopback.
 #![allow(dead_code)]
 
 pub mod fake_discovery;
@@ -16,61 +17,62 @@
 use std::time::{Duration, Instant};
 
 const CONFIG: &str = include_str!("../../../platform/tests/config.json");
-/// Longest wait for what has to come.
-pub const LONG: Duration = Duration::from_secs(20);
-/// What a client reads of a request that was served.
-pub const SERVED: &str = "$2\r\nok\r\n";
-/// The value that most nodes give.
-const OK: &str = "ok";
-
-/// The running program; killed with its value.
-pub struct Program {
+/// Longest wait for an expected event.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// The reply of a request that a [`start_node`] node served.
+pub const SERVED_REPLY: &str = "$2\r\nok\r\n";
+/// The value that most nodes return.
+const OK_VALUE: &str = "ok";
+
+/// The running program, with its log; killed when it is dropped.
+pub struct GatewayProcess {
     child: Child,
     log: Arc<Mutex<String>>,
 }
 
-impl Drop for Program {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = (self.child.kill(), self.child.wait());
     }
 }
 
-impl Program {
-    pub fn start(file: &Path) -> Program {
+impl GatewayProcess {
+    /// Starts the program with a configuration file.
+    pub fn start(file: &Path) -> GatewayProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pearfork-gateway"));
         command.args(["service", "--log-filter", "info"]);
-        Program::spawn(command, file)
+        GatewayProcess::spawn(command, file)
     }
 
-    /// Under a limit of descriptors that the system enforces; its log is a long one.
-    pub fn start_limited(file: &Path, descriptors: usize) -> Program {
+    /// Starts the program with a soft and hard limit of open descriptors, and logs at level `debug`.
+    pub fn start_limited(file: &Path, descriptors: usize) -> GatewayProcess {
         let mut command = Command::new("sh");
         command.args(["-c", "ulimit -n \"$1\"; shift; exec \"$@\"", "sh", &descriptors.to_string()]);
         command.arg(env!("CARGO_BIN_EXE_pearfork-gateway"));
         command.args(["service", "--log-filter", "debug"]);
-        Program::spawn(command, file)
+        GatewayProcess::spawn(command, file)
     }
 
-    /// Its log goes where the command says, and is not read.
-    fn spawn_unread(mut command: Command, file: &Path) -> Program {
+    /// Starts a command whose standard error the caller has redirected.
+    fn spawn_unread(mut command: Command, file: &Path) -> GatewayProcess {
         let command = command.env("ROUTER_CONFIG", file).stdin(Stdio::null()).stdout(Stdio::null());
-        Program { child: command.spawn().unwrap(), log: Arc::default() }
+        GatewayProcess { child: command.spawn().unwrap(), log: Arc::default() }
     }
 
-    fn spawn(mut command: Command, file: &Path) -> Program {
+    fn spawn(mut command: Command, file: &Path) -> GatewayProcess {
         let command = command.env("ROUTER_CONFIG", file);
         let command = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
         let log = Arc::new(Mutex::new(String::new()));
-        let (kept, lines) = (log.clone(), BufReader::new(child.stderr.take().unwrap()));
+        let (shared_log, lines) = (log.clone(), BufReader::new(child.stderr.take().unwrap()));
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                let mut log = kept.lock().unwrap();
+                let mut log = shared_log.lock().unwrap();
                 log.push_str(&line);
                 log.push('\n');
             }
         });
-        Program { child, log }
+        GatewayProcess { child, log }
     }
 
     pub fn id(&self) -> u32 {
@@ -81,31 +83,31 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits until its log has these words.
-    pub fn says(&self, words: &str) {
-        until(words, || self.has_said(words));
+    /// Waits until the log contains a text.
+    pub fn wait_for_log(&self, text: &str) {
+        wait_until(text, || self.has_logged(text));
     }
 
-    pub fn has_said(&self, words: &str) -> bool {
-        self.log.lock().unwrap().contains(words)
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.log.lock().unwrap().contains(text)
     }
 
-    pub fn threads_and_descriptors(&self) -> (usize, usize) {
-        let count = |of: &str| {
-            std::fs::read_dir(format!("/proc/{}/{of}", self.id())).map_or(0, std::iter::Iterator::count)
+    pub fn thread_and_descriptor_counts(&self) -> (usize, usize) {
+        let count = |folder: &str| {
+            std::fs::read_dir(format!("/proc/{}/{folder}", self.id())).map_or(0, std::iter::Iterator::count)
         };
         (count("task"), count("fd"))
     }
 
-    /// What its descriptors stand for.
-    pub fn descriptors(&self) -> Vec<String> {
+    /// What each open descriptor refers to, as `/proc/PID/fd` links it.
+    pub fn descriptor_targets(&self) -> Vec<String> {
         let Ok(folder) = std::fs::read_dir(format!("/proc/{}/fd", self.id())) else { return Vec::new() };
         let links = folder.flatten().filter_map(|entry| std::fs::read_link(entry.path()).ok());
         links.map(|link| link.to_string_lossy().into_owned()).collect()
     }
 
-    /// Resident memory, in kilobytes.
-    pub fn memory_kb(&self) -> usize {
+    /// Resident memory, in KiB.
+    pub fn resident_kb(&self) -> usize {
         self.status_kb("VmRSS:")
     }
 
@@ -115,25 +117,25 @@
         line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
     }
 
-    /// The most memory that was resident, in kilobytes.
-    pub fn peak_memory_kb(&self) -> usize {
+    /// Peak resident memory, in KiB.
+    pub fn peak_resident_kb(&self) -> usize {
         self.status_kb("VmHWM:")
     }
 
-    /// Its exit code, within the time that the platform gives.
-    pub fn ends(&mut self) -> Option<i32> {
-        self.ended().code()
+    /// Waits for the process to exit; its exit code, or `None` if a signal ended it.
+    pub fn wait_for_exit_code(&mut self) -> Option<i32> {
+        self.wait_for_exit().code()
     }
 
-    /// Whether it has ended by now, and with which code.
-    pub fn has_ended(&mut self) -> Option<Option<i32>> {
+    /// The exit code if the process has exited; the inner `None` stands for an end by a signal.
+    pub fn exit_code_if_exited(&mut self) -> Option<Option<i32>> {
         self.child.try_wait().unwrap().map(|status| status.code())
     }
 
-    /// How it ended.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits for the process to exit.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("the program ends", || {
+        wait_until("the program exits", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -141,143 +143,150 @@
     }
 }
 
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
-    while !done() {
+/// Polls a condition until it holds; panics after [`TIMEOUT`].
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !holds() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A loopback address of a test's own, with any port.
+/// A loopback address that no other test uses, with port 0.
 ///
-/// Danger: connections leave from 127.0.0.1. A port there that is free now may be the source of one a moment later, and one
-/// that tries again and again to connect to it comes to be connected with itself.
-pub fn own_address() -> SocketAddr {
+/// Outgoing connections use source ports of 127.0.0.1. A port there that is unused now may be the source port
+/// of a connection later, and a client that keeps connecting to it can end up connected to itself.
+pub fn test_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let own = [127, 64 | (process >> 8) as u8 & 63, process as u8, NEXT.fetch_add(1, Ordering::SeqCst)];
     SocketAddr::from((own, 0))
 }
 
-/// An address that nobody has.
+/// An address that no socket is bound to, for a process to listen on.
 ///
-/// Danger: whoever binds it at once may find it in use: a process that is being started at that moment by another thread
-/// holds a copy of all sockets until it runs. What is to listen in this process binds [`own_address`] and stays bound.
-pub fn free() -> SocketAddr {
-    TcpListener::bind(own_address()).unwrap().local_addr().unwrap()
+/// Binding it at once can fail with "address in use": a child process that another thread is starting holds
+/// copies of all sockets until it calls `exec`. A listener in the test process binds [`test_address`] itself
+/// and keeps its socket.
+pub fn unused_address() -> SocketAddr {
+    TcpListener::bind(test_address()).unwrap().local_addr().unwrap()
 }
 
-/// A command that a node was sent.
+/// A command that a fake node received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
-    pub words: Vec<String>,
+pub struct ReceivedCommand {
+    pub arguments: Vec<String>,
 }
 
-impl Heard {
-    /// The id under which the client asked.
+impl ReceivedCommand {
+    /// The request id that the client chose.
     pub fn id(&self) -> u64 {
-        u64::from_str_radix(&self.words[2], 16).unwrap()
+        u64::from_str_radix(&self.arguments[2], 16).unwrap()
     }
 }
 
-/// What a node was sent, in the order in which it came.
-pub type HeardAll = Arc<Mutex<Vec<Heard>>>;
+/// The commands that a fake node received, in order of arrival.
+pub type ReceivedCommands = Arc<Mutex<Vec<ReceivedCommand>>>;
 
-/// The number on a line that begins with a sign.
-fn read_number(from: &mut impl BufRead, sign: char) -> io::Result<usize> {
+/// Reads a RESP line that consists of a type character and a number.
+fn read_number(from: &mut impl BufRead, kind: char) -> io::Result<usize> {
     let mut line = String::new();
     from.read_line(&mut line)?;
-    let number = line.trim_end().strip_prefix(sign).and_then(|n| n.parse().ok());
+    let number = line.trim_end().strip_prefix(kind).and_then(|n| n.parse().ok());
     number.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// One command off a connection.
+/// Reads one RESP command, an array of bulk strings.
 fn read_command(from: &mut impl BufRead) -> io::Result<Vec<String>> {
-    let mut words = Vec::new();
+    let mut arguments = Vec::new();
     for _ in 0..read_number(from, '*')? {
         let length = read_number(from, '$')?;
-        let mut word = vec![0; length + 2];
-        from.read_exact(&mut word)?;
-        word.truncate(length);
-        words.push(String::from_utf8_lossy(&word).into_owned());
+        let mut argument = vec![0; length + 2];
+        from.read_exact(&mut argument)?;
+        argument.truncate(length);
+        arguments.push(String::from_utf8_lossy(&argument).into_owned());
     }
-    Ok(words)
+    Ok(arguments)
 }
 
-/// A node that serves every request with the same value once it has read it, after a while.
-pub fn node(after: Duration) -> SocketAddr {
-    node_that_hears(after).0
+/// Starts a node that serves every request with the same value, `service_time` after it has read the request.
+pub fn start_node(service_time: Duration) -> SocketAddr {
+    start_recording_node(service_time).0
 }
 
-/// The same, and what it was sent.
-pub fn node_that_hears(after: Duration) -> (SocketAddr, HeardAll) {
-    node_with(after, |_| OK.to_owned())
+/// Like [`start_node`]; also returns the commands that the node receives.
+pub fn start_recording_node(service_time: Duration) -> (SocketAddr, ReceivedCommands) {
+    start_node_with(service_time, |_| OK_VALUE.to_owned())
 }
 
-/// The same, where the value is the id of the request as it came.
-pub fn node_that_echoes(after: Duration) -> (SocketAddr, HeardAll) {
-    node_with(after, |heard| heard.words[2].clone())
+/// Like [`start_recording_node`], with the request's id as the value.
+pub fn start_echo_node(service_time: Duration) -> (SocketAddr, ReceivedCommands) {
+    start_node_with(service_time, |command| command.arguments[2].clone())
 }
 
-fn node_with(after: Duration, value: fn(&Heard) -> String) -> (SocketAddr, HeardAll) {
+fn start_node_with(
+    service_time: Duration,
+    value: fn(&ReceivedCommand) -> String,
+) -> (SocketAddr, ReceivedCommands) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let heard = HeardAll::default();
-    let kept = heard.clone();
+    let received = ReceivedCommands::default();
+    let shared = received.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let heard = kept.clone();
+            let received = shared.clone();
             std::thread::spawn(move || {
                 let mut commands = BufReader::new(&stream);
-                while let Ok(words) = read_command(&mut commands) {
-                    let command = Heard { words };
+                while let Ok(arguments) = read_command(&mut commands) {
+                    let command = ReceivedCommand { arguments };
                     let value = value(&command);
-                    heard.lock().unwrap().push(command);
-                    std::thread::sleep(after);
-                    let answer = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
-                    let _ = (&stream).write_all(answer.as_bytes());
+                    received.lock().unwrap().push(command);
+                    std::thread::sleep(service_time);
+                    let reply = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
+                    let _ = (&stream).write_all(reply.as_bytes());
                 }
             });
         }
     });
-    (address, heard)
+    (address, received)
 }
 
-/// A line of a list.
-pub fn line(name: &str, dial: SocketAddr, block: u16, health: &str) -> String {
+/// The entry of a node in a discovery list.
+pub fn node_line(name: &str, dial: SocketAddr, block: u16, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"m","block":{block},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A whole list of these lines.
-pub fn whole_list(seq: u64, lines: &[String]) -> String {
+/// A full discovery list of these entries.
+pub fn full_list(seq: u64, lines: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":true,"hosts":[{}]}}"#, lines.join(","))
 }
 
-/// The node that serves, among so many others of another shard.
-pub fn list(seq: u64, serves: SocketAddr, others: &str, count: usize) -> String {
-    let dead: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let others = (0..count).map(|i| line(&format!("{others}-{i}"), dead, 1, "SERVING"));
-    let lines: Vec<String> = std::iter::once(line("s-1", serves, 0, "SERVING")).chain(others).collect();
-    whole_list(seq, &lines)
+/// A full list of a live node in shard 0 and `count` unreachable nodes in shard 1, named `prefix-0` and up.
+pub fn list_with_one_live_node(seq: u64, live: SocketAddr, prefix: &str, count: usize) -> String {
+    let unreachable: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let others = (0..count).map(|i| node_line(&format!("{prefix}-{i}"), unreachable, 1, "SERVING"));
+    let lines: Vec<String> = std::iter::once(node_line("s-1", live, 0, "SERVING")).chain(others).collect();
+    full_list(seq, &lines)
 }
 
-/// Discovery that tells what stands here, with its version.
-pub fn discovery(text: Arc<Mutex<(u64, String)>>) -> Server {
-    let answer = move |path: &str| {
-        let (seq, list) = text.lock().unwrap().clone();
+/// Starts a discovery server that returns the shared list.
+///
+/// A watch of the sequence number that the list has ends after 50 ms without a change.
+pub fn start_discovery(list: Arc<Mutex<(u64, String)>>) -> Server {
+    let respond = move |path: &str| {
+        let (seq, list) = list.lock().unwrap().clone();
         if path.contains(&format!("since={seq}&")) {
             std::thread::sleep(Duration::from_millis(50));
             return Answer::ok("application/json", format!(r#"{{"seq":{seq},"whole":false,"hosts":[]}}"#));
         }
         Answer::ok("application/json", list)
     };
-    Server::start(TcpListener::bind("127.0.0.1:0").unwrap(), answer).unwrap()
+    Server::start(TcpListener::bind("127.0.0.1:0").unwrap(), respond).unwrap()
 }
 
-/// A configuration, with so many hosts in the settings.
+/// The configuration of the platform's tests with these addresses, this list and a fleet of `hosts` hosts.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str, hosts: u32) -> serde_json::Value {
     let mut config: serde_json::Value = serde_json::from_str(CONFIG).unwrap();
     config["listen"] = listen.to_string().into();
@@ -293,58 +302,60 @@
 
 pub fn connect(address: SocketAddr) -> TcpStream {
     let mut stream = None;
-    until("it listens", || {
+    wait_until("the program listens", || {
         stream = TcpStream::connect(address).ok();
         stream.is_some()
     });
     let stream = stream.unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
-/// The words of a read.
-pub fn get(id: u64) -> Vec<u8> {
+/// The RESP command of a read.
+pub fn get_command(id: u64) -> Vec<u8> {
     let list = "c=read,t=gold,d=1000,volume=0000000000000001,units=1,shard=0,hosts=1024";
-    let words = format!(
+    let command = format!(
         "*4\r\n$7\r\nOBJ.GET\r\n$16\r\n0000000000000001\r\n$16\r\n{id:016x}\r\n${}\r\n{list}\r\n",
         list.len()
     );
-    words.into_bytes()
+    command.into_bytes()
 }
 
-pub fn ask(stream: &mut TcpStream, id: u64) {
-    stream.write_all(&get(id)).unwrap();
+pub fn send_get(stream: &mut TcpStream, id: u64) {
+    stream.write_all(&get_command(id)).unwrap();
 }
 
-/// What was answered to one command: a value or an error line.
-pub fn answered(stream: &mut TcpStream) -> String {
-    let mut got = Vec::new();
-    let mut piece = [0; 256];
-    while !(got.starts_with(b"-") && got.ends_with(b"\r\n") || got.ends_with(b"ok\r\n")) {
-        let n = stream.read(&mut piece).unwrap();
-        assert!(n > 0, "closed with no answer");
-        got.extend_from_slice(&piece[..n]);
+/// Reads the reply to one command: a value or an error line.
+pub fn read_reply(stream: &mut TcpStream) -> String {
+    let mut reply = Vec::new();
+    let mut buffer = [0; 256];
+    while !(reply.starts_with(b"-") && reply.ends_with(b"\r\n") || reply.ends_with(b"ok\r\n")) {
+        let n = stream.read(&mut buffer).unwrap();
+        assert!(n > 0, "connection closed without a reply");
+        reply.extend_from_slice(&buffer[..n]);
     }
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&reply).into_owned()
 }
 
-/// Reads exactly these bytes, and no other come before them.
-pub fn reads(stream: &mut TcpStream, expected: &str) {
-    let mut got = vec![0; expected.len()];
-    let read = stream.read_exact(&mut got);
-    assert!(read.is_ok(), "{read:?} in place of {expected:?}");
-    assert_eq!(String::from_utf8_lossy(&got), expected);
+/// Reads as many bytes as `expected` has and asserts that they are equal.
+pub fn expect_reply(stream: &mut TcpStream, expected: &str) {
+    let mut reply = vec![0; expected.len()];
+    let read = stream.read_exact(&mut reply);
+    assert!(read.is_ok(), "{read:?} instead of {expected:?}");
+    assert_eq!(String::from_utf8_lossy(&reply), expected);
 }
 
-/// How long it took until a new client had the answer to its PING; a client that is closed unread comes again at once.
-pub fn ready_after(address: SocketAddr, since: Instant) -> Duration {
+/// Waits until a new client gets a reply to PING, and returns the time since `since`.
+///
+/// A client whose connection is closed without a reply connects again.
+pub fn wait_until_ready(address: SocketAddr, since: Instant) -> Duration {
     let pong = b"+PONG\r\n";
-    until("PING is answered", || {
+    wait_until("PING is answered", || {
         let Ok(mut stream) = TcpStream::connect(address) else { return false };
-        let mut got = [0; 7];
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        let mut reply = [0; 7];
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let sent = stream.write_all(b"*1\r\n$4\r\nPING\r\n");
-        sent.is_ok() && stream.read_exact(&mut got).is_ok() && &got == pong
+        sent.is_ok() && stream.read_exact(&mut reply).is_ok() && &reply == pong
     });
     since.elapsed()
 }
--- a/crates/gateway/tests/shims/clock.c
+++ b/crates/gateway/tests/shims/clock.c
@@ -1,6 +1,6 @@
-/* Shifts the wall clock of one process, and nothing else: preloaded, it adds the seconds that the first line of the file
- * named by SHIM_CLOCK_FILE holds to CLOCK_REALTIME. The file is read anew each time, so that a test steps the clock while
- * the process runs. Monotonic time stays as it is. */
+/* Shifts the wall clock of one process: preloaded, it adds the number of seconds on the first line of the file
+ * named by SHIM_CLOCK_FILE to CLOCK_REALTIME. The file is read on each call, so that a test can set the clock
+ * while the process runs. Other clocks, such as CLOCK_MONOTONIC, are not shifted. */
 #define _GNU_SOURCE
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,7 +8,7 @@
 #include <time.h>
 #include <unistd.h>
 
-static long shift_seconds(void) {
+static long offset_seconds(void) {
     const char *path = getenv("SHIM_CLOCK_FILE");
     FILE *file = path ? fopen(path, "r") : NULL;
     long seconds = 0;
@@ -21,6 +21,6 @@
 
 int clock_gettime(clockid_t clock, struct timespec *at) {
     int failed = syscall(SYS_clock_gettime, clock, at);
-    if (failed == 0 && clock == CLOCK_REALTIME) at->tv_sec += shift_seconds();
+    if (failed == 0 && clock == CLOCK_REALTIME) at->tv_sec += offset_seconds();
     return failed;
 }
--- a/crates/gateway/tests/shims/faults.c
+++ b/crates/gateway/tests/shims/faults.c
@@ -1,11 +1,11 @@
-/* Runs a program and has some of its system calls fail, as Linux documents that they may:
+/* Runs a program and makes some of its system calls fail with errors that Linux documents:
  *
  *     faults SEED CALL:ERRNO:PER_MILLE [CALL:ERRNO:PER_MILLE ...] -- PROGRAM [ARGUMENT ...]
  *
- * CALL is accept4, connect, socket, sendto, recvfrom, epoll_wait or write; ERRNO is a number. A filter on the program alone
- * (seccomp, without special rights) asks this process about each such call; the first seconds are left alone where
- * FAULTS_AFTER_MS says so, and FAULTS_FOR_MS ends them. A signal sent to this process goes on to the program, whose exit
- * status it takes. */
+ * CALL is accept4, connect, socket, sendto, recvfrom, epoll_wait or write; ERRNO is a number. A seccomp filter on
+ * the program, which needs no privileges, notifies this process of each such call. Calls fail from FAULTS_AFTER_MS
+ * (0 by default) after the start, for FAULTS_FOR_MS (by default until the end). SIGTERM, SIGHUP and SIGINT are
+ * forwarded to the program, and its exit status becomes that of this process. */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <linux/audit.h>
@@ -51,12 +51,12 @@
     rule->call = call_number(name);
 }
 
-static int install(void) {
+static int install_filter(void) {
     struct sock_filter filter[4 + 32 + 2];
-    int at = 0, many = rule_count;
+    int at = 0, count = rule_count;
     filter[at++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, nr));
-    for (int i = 0; i < many; i++)
-        filter[at++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, rules[i].call, many - i, 0);
+    for (int i = 0; i < count; i++)
+        filter[at++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, rules[i].call, count - i, 0);
     filter[at++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW);
     filter[at++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_USER_NOTIF);
     struct sock_fprog program = {.len = at, .filter = filter};
@@ -64,7 +64,7 @@
     return syscall(SYS_seccomp, SECCOMP_SET_MODE_FILTER, SECCOMP_FILTER_FLAG_NEW_LISTENER, &program);
 }
 
-static void give(int socket, int descriptor) {
+static void send_descriptor(int socket, int descriptor) {
     char byte = 0, space[CMSG_SPACE(sizeof(int))] = {0};
     struct iovec part = {&byte, 1};
     struct msghdr message = {.msg_iov = &part, .msg_iovlen = 1, .msg_control = space, .msg_controllen = sizeof space};
@@ -74,7 +74,7 @@
     if (sendmsg(socket, &message, 0) < 0) _exit(2);
 }
 
-static int taken(int socket) {
+static int receive_descriptor(int socket) {
     char byte, space[CMSG_SPACE(sizeof(int))];
     struct iovec part = {&byte, 1};
     struct msghdr message = {.msg_iov = &part, .msg_iovlen = 1, .msg_control = space, .msg_controllen = sizeof space};
@@ -84,12 +84,12 @@
     return descriptor;
 }
 
-static void pass_on(int number) { kill(child, number); }
+static void forward_signal(int number) { kill(child, number); }
 
 static unsigned long long state;
-static unsigned drawn(unsigned below) {
+static unsigned random_below(unsigned bound) {
     state = state * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (state >> 33) % below;
+    return (state >> 33) % bound;
 }
 
 static long now_ms(void) {
@@ -98,28 +98,28 @@
     return at.tv_sec * 1000 + at.tv_nsec / 1000000;
 }
 
-int main(int count, char **words) {
+int main(int count, char **arguments) {
     int at = 2, pair[2];
     if (count < 5) return 2;
-    state = strtoull(words[1], NULL, 10) * 2 + 1;
-    while (at < count && strcmp(words[at], "--")) read_rule(words[at++]);
+    state = strtoull(arguments[1], NULL, 10) * 2 + 1;
+    while (at < count && strcmp(arguments[at], "--")) read_rule(arguments[at++]);
     if (at + 1 >= count || socketpair(AF_UNIX, SOCK_STREAM, 0, pair)) return 2;
     long after = getenv("FAULTS_AFTER_MS") ? atol(getenv("FAULTS_AFTER_MS")) : 0;
     long during = getenv("FAULTS_FOR_MS") ? atol(getenv("FAULTS_FOR_MS")) : 1L << 40;
     child = fork();
     if (child == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL, 0, 0, 0);
-        /* The filter may name `write` and `sendto`: the listener is handed over by `sendmsg`, which it never names. */
-        int listener = install();
-        give(pair[1], listener);
+        /* The filter may cover `write` and `sendto`: the listener is sent with `sendmsg`, which it never covers. */
+        int listener = install_filter();
+        send_descriptor(pair[1], listener);
         close(listener), close(pair[0]), close(pair[1]);
-        execv(words[at + 1], words + at + 1);
+        execv(arguments[at + 1], arguments + at + 1);
         _exit(127);
     }
     close(pair[1]);
-    int listener = taken(pair[0]);
+    int listener = receive_descriptor(pair[0]);
     if (listener < 0) return 2;
-    signal(SIGTERM, pass_on), signal(SIGHUP, pass_on), signal(SIGINT, pass_on);
+    signal(SIGTERM, forward_signal), signal(SIGHUP, forward_signal), signal(SIGINT, forward_signal);
     long began = now_ms();
     for (;;) {
         struct pollfd watched = {listener, POLLIN, 0};
@@ -130,17 +130,17 @@
             if (watched.revents & (POLLHUP | POLLERR)) usleep(5000);
             continue;
         }
-        struct seccomp_notif asked;
-        memset(&asked, 0, sizeof asked);
-        if (ioctl(listener, SECCOMP_IOCTL_NOTIF_RECV, &asked)) continue;
-        struct seccomp_notif_resp answer = {.id = asked.id, .flags = SECCOMP_USER_NOTIF_FLAG_CONTINUE};
+        struct seccomp_notif request;
+        memset(&request, 0, sizeof request);
+        if (ioctl(listener, SECCOMP_IOCTL_NOTIF_RECV, &request)) continue;
+        struct seccomp_notif_resp response = {.id = request.id, .flags = SECCOMP_USER_NOTIF_FLAG_CONTINUE};
         long since = now_ms() - began;
         for (int i = 0; i < rule_count && since >= after && since < after + during; i++) {
-            if (rules[i].call == asked.data.nr && drawn(1000) < (unsigned)rules[i].per_mille) {
-                answer.flags = 0, answer.error = -rules[i].error;
+            if (rules[i].call == request.data.nr && random_below(1000) < (unsigned)rules[i].per_mille) {
+                response.flags = 0, response.error = -rules[i].error;
                 break;
             }
         }
-        ioctl(listener, SECCOMP_IOCTL_NOTIF_SEND, &answer);
+        ioctl(listener, SECCOMP_IOCTL_NOTIF_SEND, &response);
     }
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,18 +1,20 @@
-//! Seeded plays of real processes under drawn faults, with the platform's rules checked from what passed over the sockets.
+//! Seeded random fault scenarios with real processes; the platform's rules are checked against the traffic on
+//! the sockets.
 //!
-//! `SOAK_SEEDS=1..51 cargo test -p pearfork-gateway --test soak -- --nocapture` plays other seeds than CI does.
+//! `SOAK_SEEDS=1..51 cargo test -p pearfork-gateway --test soak -- --nocapture` runs other seeds than CI
+//! does.
 
 mod service_harness;
 mod soak_harness;
 
-use soak_harness::scenario::Plan;
+use soak_harness::scenario::Scenario;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const SEEDS: std::ops::Range<u64> = 1..9;
-/// Plays side by side.
-const SIDE_BY_SIDE: usize = 3;
+/// Scenarios that run at the same time.
+const PARALLEL_RUNS: usize = 3;
 
 fn seeds() -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else { return SEEDS };
@@ -20,27 +22,31 @@
     from.parse().unwrap()..to.parse().unwrap()
 }
 
-/// Guards against requests that are lost, wrong, late or sent on after their end, and processes that end, under any mix of
-/// faults at nodes, clients, discovery, signals, clocks and system calls.
+/// Guards against requests that are lost, answered wrongly or late, or sent to a node after their final
+/// answer, and against processes that end, under any mix of faults of nodes, clients, discovery, signals,
+/// clocks and system calls.
 #[test]
-fn drawn_faults_break_no_rule() {
+fn random_faults_break_no_rule() {
     let seeds = seeds();
     let next = AtomicU64::new(seeds.start);
-    let broken = Mutex::new(Vec::new());
+    let violations = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..SIDE_BY_SIDE {
+        for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::SeqCst);
                 if seed >= seeds.end {
                     return;
                 }
-                let plan = Plan::draw(seed);
-                let report = soak_harness::play(&plan);
-                println!("{}", report.line(&plan));
-                broken.lock().unwrap().extend(report.broken.iter().map(|b| format!("seed {seed}: {b}")));
+                let scenario = Scenario::random(seed);
+                let report = soak_harness::run(&scenario);
+                println!("{}", report.summary(&scenario));
+                violations
+                    .lock()
+                    .unwrap()
+                    .extend(report.violations.iter().map(|v| format!("seed {seed}: {v}")));
             });
         }
     });
-    let broken = broken.into_inner().unwrap();
-    assert!(broken.is_empty(), "{} broken rules:\n{}", broken.len(), broken.join("\n"));
+    let violations = violations.into_inner().unwrap();
+    assert!(violations.is_empty(), "{} rule violations:\n{}", violations.len(), violations.join("\n"));
 }
--- a/crates/gateway/tests/soak_harness/mod.rs
+++ b/crates/gateway/tests/soak_harness/mod.rs
@@ -1,84 +1,103 @@
-//! A play: hosts as real processes, nodes, discovery and clients around them, and the rules over what passed.
+//! Runs a scenario with hosts as real processes and fake nodes, discovery and clients, and checks the rules
+//! against the recorded requests and attempts.
 
 pub mod client;
 pub mod node;
 pub mod scenario;
 
-use crate::service_harness::fake_discovery::{Agent, Manner as Telling};
-use crate::service_harness::idle_clients::Crowd;
+use crate::service_harness::fake_discovery::{DiscoveryBehavior, FakeDiscovery};
+use crate::service_harness::idle_clients::IdleClients;
 use crate::service_harness::shims::Shims;
-use crate::service_harness::{config, free, line, ready_after, whole_list, Program};
-use client::{Asked, End, Manner};
+use crate::service_harness::{
+    config, full_list, node_line, unused_address, wait_until_ready, GatewayProcess,
+};
+use client::{ClientConfig, RequestEnd, SentRequest};
 use node::{Attempt, Attempts, Node};
 use rustix::process::Signal;
-use scenario::{Plan, Signals};
+use scenario::{Scenario, Signals};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nodes that stand; those that are listed beyond them are names for the same.
+/// Fake nodes that run; further listed nodes are other names of the same addresses.
 const NODES: usize = 6;
-/// Shards of the settings that are asked for; the first nodes hold two where no more are listed.
+/// Shards that get requests with [`NODES`] nodes in the list.
 const FEW_SHARDS: u64 = 2;
+/// Shards that get requests with a longer list; all that the settings have.
 const MANY_SHARDS: u64 = 20;
-/// The platform ends a host so long after SIGTERM: the longest deadline, and 0.7 s.
+/// The platform kills a host this long after SIGTERM: the longest deadline and 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(1_900);
-/// Every limit of the rules on sockets is this much longer.
+/// Tolerance of every time limit of the rules, for delays between the program and the sockets of the test.
 const SLACK: Duration = Duration::from_millis(50);
-const AFTER_LEAVING: Duration = Duration::from_millis(100);
-const TOLD_SLACK_MS: u64 = 150;
-const LATE_ANSWER: Duration = Duration::from_millis(500);
+/// Time within which attempts may still be sent after the client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// Tolerance of the time to the deadline that a node is sent.
+const TIME_LEFT_SLACK_MS: u64 = 150;
+/// Longest time from the deadline to the final answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Time within which attempts may still be sent to a draining node.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
-/// The window within which a keyed request may be repeated.
-const REPEAT_WINDOW: Duration = Duration::from_millis(1_200);
-/// Units that a cold node bears in two seconds by the settings: for nodes that do 200 units a second warm, which is over
-/// what any play asks of one, 4 times 0.17 of that.
+/// Window within which a keyed request may be retried.
+const RETRY_WINDOW: Duration = Duration::from_millis(1_200);
+/// Units that a cold node can serve in two seconds, for the settings: 4 times 0.17 of the 200 units per
+/// second that a warm node serves, which is more than any scenario sends to one.
 const COLD_UNITS: f64 = 272.0;
-/// Units that a node may be sent in its first two seconds: N = 272 units as requests of 1.99 units in the mean, N + 2 root
-/// of N + 2, in units.
+/// Units that a node may be sent in its first two seconds: 272 units as N requests of 1.99 units on average;
+/// N + 2 sqrt(N) + 2 requests, in units.
 const SLOW_START_UNITS: usize = 322;
 const MEMORY_LIMIT_KB: usize = 48 * 1_024;
-/// The restarted node's moments, counted from the beginning of the play.
+/// When signals are sent to the first host, counted like the following times from the start of the run.
 const SIGNALS_AT: Duration = Duration::from_millis(900);
+/// When the first node drains, and when it restarts.
 const DRAINS_AT: Duration = Duration::from_millis(700);
 const RESTARTS_AT: Duration = Duration::from_millis(3_400);
 
-/// What a play came to.
+/// The result of a run.
 #[derive(Default)]
 pub struct Report {
-    ends: BTreeMap<String, usize>,
+    request_ends: BTreeMap<String, usize>,
     attempts: usize,
     peak_kb: usize,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Report {
-    pub fn line(&self, plan: &Plan) -> String {
-        let failures: Vec<String> = plan
-            .failures
+    pub fn summary(&self, scenario: &Scenario) -> String {
+        let syscall_faults: Vec<String> = scenario
+            .syscall_faults
             .iter()
             .map(|f| format!("{} {:?} {}", f.call, f.errno.raw_os_error(), f.per_mille))
             .collect();
         format!(
-            "seed {} listed {} clients {} crowd {} faults {} leaves {} {:?} clock {} {failures:?} restart {}: {:?}, {} attempts, \
-             {} KB, {} broken",
-            plan.seed, plan.listed, plan.clients, plan.crowd, plan.node_faults, plan.leaves, plan.signals,
-            plan.clock_ahead_seconds, plan.is_node_restarted, self.ends, self.attempts, self.peak_kb,
-            self.broken.len()
+            "seed {} listed {} clients {} idle {} faults {} % disconnects {} % {:?} clock {} \
+             {syscall_faults:?} restart {}: {:?}, {} attempts, {} KB, {} violations",
+            scenario.seed,
+            scenario.listed_nodes,
+            scenario.clients,
+            scenario.idle_clients,
+            scenario.node_fault_percent,
+            scenario.disconnect_percent,
+            scenario.signals,
+            scenario.clock_ahead_seconds,
+            scenario.is_node_restarted,
+            self.request_ends,
+            self.attempts,
+            self.peak_kb,
+            self.violations.len()
         )
     }
 }
 
-struct World<'a> {
-    plan: &'a Plan,
+struct TestEnv<'a> {
+    scenario: &'a Scenario,
     began: Instant,
     nodes: Vec<Node>,
     attempts: Attempts,
-    agent: Agent,
-    other_agent: Agent,
+    discovery: FakeDiscovery,
+    other_discovery: FakeDiscovery,
     addresses: Vec<SocketAddr>,
-    files: Vec<PathBuf>,
+    config_files: Vec<PathBuf>,
     shims: Shims,
 }
 
@@ -86,40 +105,45 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1_000.0
 }
 
-fn shards(plan: &Plan) -> u64 {
-    if plan.listed > NODES {
+fn shards(scenario: &Scenario) -> u64 {
+    if scenario.listed_nodes > NODES {
         MANY_SHARDS
     } else {
         FEW_SHARDS
     }
 }
 
-/// The list, with the first node in a state.
-fn list(plan: &Plan, nodes: &[Node], seq: u64, health: &str, born_ms: f64) -> String {
-    let lines: Vec<String> = (0..plan.listed)
+/// The full list; the first node has this health and start time.
+fn list(scenario: &Scenario, nodes: &[Node], seq: u64, health: &str, born_ms: f64) -> String {
+    let lines: Vec<String> = (0..scenario.listed_nodes)
         .map(|i| {
-            let block = (i as u64 % shards(plan)) as u16;
+            let block = (i as u64 % shards(scenario)) as u16;
             let dial = nodes[i % NODES].address;
             match i {
-                0 => line("s-0", dial, block, health)
+                0 => node_line("s-0", dial, block, health)
                     .replace("\"born_ms\":0", &format!("\"born_ms\":{born_ms}")),
-                _ => line(&format!("s-{i}"), dial, block, "SERVING"),
+                _ => node_line(&format!("s-{i}"), dial, block, "SERVING"),
             }
         })
         .collect();
-    whole_list(seq, &lines)
+    full_list(seq, &lines)
 }
 
-impl World<'_> {
-    fn start_host(&self, host: usize) -> Program {
-        let seed = self.plan.seed * 16 + host as u64;
-        self.shims.start(&self.files[host], self.plan.clock_ahead_seconds, seed, &self.plan.failures)
+impl TestEnv<'_> {
+    fn start_host(&self, host: usize) -> GatewayProcess {
+        let seed = self.scenario.seed * 16 + host as u64;
+        self.shims.start(
+            &self.config_files[host],
+            self.scenario.clock_ahead_seconds,
+            seed,
+            &self.scenario.syscall_faults,
+        )
     }
 
-    fn tells(&mut self, seq: u64, health: &str, born_ms: f64) {
-        let list = list(self.plan, &self.nodes, seq, health, born_ms);
-        for agent in [&mut self.agent, &mut self.other_agent] {
-            agent.becomes(Telling::Answers(Duration::ZERO, seq, list.clone()));
+    fn publish_list(&mut self, seq: u64, health: &str, born_ms: f64) {
+        let list = list(self.scenario, &self.nodes, seq, health, born_ms);
+        for discovery in [&mut self.discovery, &mut self.other_discovery] {
+            discovery.set_behavior(DiscoveryBehavior::Responds(Duration::ZERO, seq, list.clone()));
         }
     }
 
@@ -127,204 +151,233 @@
         std::thread::sleep(at.saturating_sub(self.began.elapsed()));
     }
 
-    /// The node drains, and starts anew.
-    fn restart_node(&mut self) {
+    /// Drains and restarts the first node.
+    fn restart_first_node(&mut self) {
         self.sleep_until(DRAINS_AT);
-        self.tells(2, "DRAINING", 0.0);
+        self.publish_list(2, "DRAINING", 0.0);
         self.sleep_until(RESTARTS_AT);
         *self.nodes[0].started.lock().unwrap() = Some(Instant::now());
-        self.tells(3, "SERVING", wall_ms());
+        self.publish_list(3, "SERVING", wall_ms());
     }
 
-    /// What happens to the first host.
-    fn signal(&self, program: &mut Program, broken: &mut Vec<String>) {
+    /// Sends the scenario's signals to the first host.
+    fn send_signals(&self, program: &mut GatewayProcess, violations: &mut Vec<String>) {
         self.sleep_until(SIGNALS_AT);
-        match self.plan.signals {
+        match self.scenario.signals {
             Signals::None => {}
             Signals::Reloads => {
-                self.reload(program, self.agent.address);
-                self.reload(program, self.agent.address);
-                self.reload(program, self.other_agent.address);
+                self.reload(program, self.discovery.address);
+                self.reload(program, self.discovery.address);
+                self.reload(program, self.other_discovery.address);
             }
             Signals::ReloadAndRestart => {
-                self.reload(program, self.other_agent.address);
-                self.restart(program, false, broken);
+                self.reload(program, self.other_discovery.address);
+                self.restart(program, false, violations);
             }
-            Signals::Restart => self.restart(program, false, broken),
-            Signals::RestartTwiceTold => self.restart(program, true, broken),
+            Signals::Restart => self.restart(program, false, violations),
+            Signals::RestartAfterTwoSigterms => self.restart(program, true, violations),
         }
     }
 
-    fn reload(&self, program: &Program, discovery: SocketAddr) {
-        let text = std::fs::read_to_string(&self.files[0]).unwrap();
-        let mut settings: serde_json::Value = serde_json::from_str(&text).unwrap();
-        settings["discovery"] = discovery.to_string().into();
-        std::fs::write(&self.files[0], settings.to_string()).unwrap();
+    fn reload(&self, program: &GatewayProcess, discovery: SocketAddr) {
+        let text = std::fs::read_to_string(&self.config_files[0]).unwrap();
+        let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
+        config["discovery"] = discovery.to_string().into();
+        std::fs::write(&self.config_files[0], config.to_string()).unwrap();
         program.signal(Signal::HUP);
         std::thread::sleep(Duration::from_millis(40));
     }
 
-    fn restart(&self, program: &mut Program, is_told_twice: bool, broken: &mut Vec<String>) {
-        let told = Instant::now();
+    fn restart(&self, program: &mut GatewayProcess, terminates_twice: bool, violations: &mut Vec<String>) {
+        let signalled = Instant::now();
         program.signal(Signal::TERM);
-        if is_told_twice {
+        if terminates_twice {
             std::thread::sleep(Duration::from_millis(100));
             program.signal(Signal::TERM);
         }
-        std::thread::sleep(KILL_AFTER.saturating_sub(told.elapsed()));
-        match program.has_ended() {
+        std::thread::sleep(KILL_AFTER.saturating_sub(signalled.elapsed()));
+        match program.exit_code_if_exited() {
             Some(Some(0)) => {}
-            Some(code) => broken.push(format!("the host that left ended with {code:?}")),
-            None => broken.push("the host that left had to be killed".to_owned()),
+            Some(code) => violations.push(format!("a host ended with {code:?} after SIGTERM")),
+            None => violations.push("a host had not ended when the platform would kill it".to_owned()),
         }
-        if program.has_said("panicked") {
-            broken.push("a thread panicked".to_owned());
+        if program.has_logged("panicked") {
+            violations.push("a thread panicked".to_owned());
         }
         *program = self.start_host(0);
     }
 }
 
-/// Plays a plan.
-pub fn play(plan: &Plan) -> Report {
+/// Runs a scenario.
+pub fn run(scenario: &Scenario) -> Report {
     let folder = tempfile::tempdir().unwrap();
     let attempts = Attempts::default();
-    let nodes: Vec<Node> =
-        (0..NODES).map(|n| Node::start(n, plan.seed, plan.node_faults, attempts.clone())).collect();
-    let telling = || Telling::Answers(Duration::ZERO, 1, list(plan, &nodes, 1, "SERVING", 0.0));
-    let (agent, other_agent) = (Agent::start(telling()), Agent::start(telling()));
-    let addresses: Vec<SocketAddr> = (0..plan.hosts).map(|_| free()).collect();
-    let known = list(plan, &nodes, 0, "SERVING", 0.0);
-    let files: Vec<PathBuf> = (0..plan.hosts).map(|h| folder.path().join(format!("{h}.json"))).collect();
-    for (address, file) in addresses.iter().zip(&files) {
-        let mut settings = config(*address, agent.address, &known, plan.hosts as u32);
-        settings["settings"]["Domain"]["SlotsTotal"] = MANY_SHARDS.into();
-        settings["settings"]["Domain"]["ColdUnits"] = COLD_UNITS.into();
-        std::fs::write(file, settings.to_string()).unwrap();
+    let nodes: Vec<Node> = (0..NODES)
+        .map(|n| Node::start(n, scenario.seed, scenario.node_fault_percent, attempts.clone()))
+        .collect();
+    let first_list =
+        || DiscoveryBehavior::Responds(Duration::ZERO, 1, list(scenario, &nodes, 1, "SERVING", 0.0));
+    let (discovery, other_discovery) =
+        (FakeDiscovery::start(first_list()), FakeDiscovery::start(first_list()));
+    let addresses: Vec<SocketAddr> = (0..scenario.hosts).map(|_| unused_address()).collect();
+    let known = list(scenario, &nodes, 0, "SERVING", 0.0);
+    let config_files: Vec<PathBuf> =
+        (0..scenario.hosts).map(|h| folder.path().join(format!("{h}.json"))).collect();
+    for (address, file) in addresses.iter().zip(&config_files) {
+        let mut host_config = config(*address, discovery.address, &known, scenario.hosts as u32);
+        host_config["settings"]["Domain"]["SlotsTotal"] = MANY_SHARDS.into();
+        host_config["settings"]["Domain"]["ColdUnits"] = COLD_UNITS.into();
+        std::fs::write(file, host_config.to_string()).unwrap();
     }
-    let shims = Shims::build();
-    let mut world =
-        World { plan, began: Instant::now(), nodes, attempts, agent, other_agent, addresses, files, shims };
-    let mut programs: Vec<Program> = (0..plan.hosts).map(|h| world.start_host(h)).collect();
-    for address in &world.addresses {
-        ready_after(*address, Instant::now());
+    let shims = Shims::create();
+    let mut env = TestEnv {
+        scenario,
+        began: Instant::now(),
+        nodes,
+        attempts,
+        discovery,
+        other_discovery,
+        addresses,
+        config_files,
+        shims,
+    };
+    let mut programs: Vec<GatewayProcess> = (0..scenario.hosts).map(|h| env.start_host(h)).collect();
+    for address in &env.addresses {
+        wait_until_ready(*address, Instant::now());
     }
-    world.began = Instant::now();
-    let crowd = (plan.crowd > 0).then(|| Crowd::start(world.addresses[0], plan.crowd));
-    let until = world.began + plan.lasts;
-    let clients: Vec<_> = (0..plan.clients)
+    env.began = Instant::now();
+    let idle_clients =
+        (scenario.idle_clients > 0).then(|| IdleClients::start(env.addresses[0], scenario.idle_clients));
+    let until = env.began + scenario.duration;
+    let clients: Vec<_> = (0..scenario.clients)
         .map(|number| {
-            let host = number % plan.hosts;
-            let manner = Manner {
-                seed: plan.seed,
+            let host = number % scenario.hosts;
+            let config = ClientConfig {
+                seed: scenario.seed,
                 number: number as u64,
-                address: world.addresses[host],
-                shards: shards(plan),
-                leaves: plan.leaves,
+                address: env.addresses[host],
+                shards: shards(scenario),
+                disconnect_percent: scenario.disconnect_percent,
                 until,
             };
-            std::thread::spawn(move || client::run(manner))
+            std::thread::spawn(move || client::run(config))
         })
         .collect();
     let mut report = Report::default();
-    let mut first = programs.remove(0);
+    let mut first_host = programs.remove(0);
     std::thread::scope(|scope| {
-        let (world, broken, first) = (&mut world, &mut report.broken, &mut first);
-        if plan.is_node_restarted && plan.signals == Signals::None {
-            world.restart_node();
+        let (env, violations, first_host) = (&mut env, &mut report.violations, &mut first_host);
+        if scenario.is_node_restarted && scenario.signals == Signals::None {
+            env.restart_first_node();
         } else {
-            let world: &World<'_> = world;
-            scope.spawn(move || world.signal(first, broken));
+            let env: &TestEnv<'_> = env;
+            scope.spawn(move || env.send_signals(first_host, violations));
         }
     });
-    let asked: Vec<Asked> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
-    drop(crowd);
-    programs.push(first);
+    let requests: Vec<SentRequest> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
+    drop(idle_clients);
+    programs.push(first_host);
     for program in &mut programs {
-        if let Some(code) = program.has_ended() {
-            report.broken.push(format!("a host ended with {code:?}"));
+        if let Some(code) = program.exit_code_if_exited() {
+            report.violations.push(format!("a host ended with {code:?}"));
         }
-        if program.has_said("panicked") {
-            report.broken.push("a thread panicked".to_owned());
+        if program.has_logged("panicked") {
+            report.violations.push("a thread panicked".to_owned());
         }
-        if plan.failures.is_empty() {
-            report.peak_kb = report.peak_kb.max(program.peak_memory_kb());
+        if scenario.syscall_faults.is_empty() {
+            report.peak_kb = report.peak_kb.max(program.peak_resident_kb());
         }
     }
-    let attempts = world.attempts.lock().unwrap().clone();
-    check(&world, &asked, &attempts, &mut report);
+    let attempts = env.attempts.lock().unwrap().clone();
+    check(&env, &requests, &attempts, &mut report);
     report
 }
 
-fn check(world: &World<'_>, asked: &[Asked], attempts: &[Attempt], report: &mut Report) {
+fn check(env: &TestEnv<'_>, requests: &[SentRequest], attempts: &[Attempt], report: &mut Report) {
     report.attempts = attempts.len();
     if report.peak_kb > MEMORY_LIMIT_KB {
-        report.broken.push(format!("{} KB of memory", report.peak_kb));
+        report.violations.push(format!("{} KB of memory", report.peak_kb));
     }
-    if !asked.iter().any(|a| a.end == End::Served) {
-        report.broken.push("nothing was served".to_owned());
+    if !requests.iter().any(|r| r.end == RequestEnd::Served) {
+        report.violations.push("no request was served".to_owned());
     }
     let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
     attempts.iter().for_each(|a| by_id.entry(a.id).or_default().push(a));
-    for one in asked {
-        *report.ends.entry(format!("{:?}", one.end)).or_default() += 1;
-        let of_it = by_id.remove(&one.id).unwrap_or_default();
-        let broken = check_answer(world.plan, one).into_iter().chain(check_attempts(one, &of_it));
-        report.broken.extend(broken.map(|b| format!("{b}: {one:?}, attempts {of_it:?}")));
+    for request in requests {
+        *report.request_ends.entry(format!("{:?}", request.end)).or_default() += 1;
+        let its_attempts = by_id.remove(&request.id).unwrap_or_default();
+        let violations =
+            check_answer(env.scenario, request).into_iter().chain(check_attempts(request, &its_attempts));
+        report.violations.extend(violations.map(|v| format!("{v}: {request:?}, attempts {its_attempts:?}")));
     }
     if !by_id.is_empty() {
-        report.broken.push(format!("sent what no client sent: {by_id:?}"));
+        report.violations.push(format!("attempts of requests that no client sent: {by_id:?}"));
     }
-    if world.plan.is_node_restarted && world.plan.signals == Signals::None && world.plan.listed == NODES {
-        check_restarted_node(world, attempts, report);
+    if env.scenario.is_node_restarted
+        && env.scenario.signals == Signals::None
+        && env.scenario.listed_nodes == NODES
+    {
+        check_restarted_node(env, attempts, report);
     }
 }
 
-fn check_answer(plan: &Plan, one: &Asked) -> Option<&'static str> {
-    let is_late = one.ended_at > one.sent_at + Duration::from_millis(one.wait_ms) + LATE_ANSWER + SLACK;
-    match one.end {
-        End::Wrong => Some("a wrong answer"),
-        End::Unanswered => Some("no answer"),
-        // Where idle clients fill the descriptors, new connections may be shut unread.
-        End::Reset | End::ClosedTwice if plan.crowd == 0 || !one.is_first => {
-            Some("a connection ended under it")
+fn check_answer(scenario: &Scenario, request: &SentRequest) -> Option<&'static str> {
+    let is_late = request.ended_at
+        > request.sent_at + Duration::from_millis(request.deadline_ms) + ANSWER_GRACE + SLACK;
+    match request.end {
+        RequestEnd::Wrong => Some("a wrong answer"),
+        RequestEnd::Unanswered => Some("no answer"),
+        // When idle clients use up the descriptors, the program may close new connections without reading.
+        RequestEnd::Reset | RequestEnd::ClosedTwice if scenario.idle_clients == 0 || !request.is_first => {
+            Some("its connection ended before the reply")
         }
-        End::Served | End::Refused | End::Failed if is_late => Some("a late answer"),
+        RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed if is_late => Some("a late answer"),
         _ => None,
     }
 }
 
-fn check_attempts(one: &Asked, attempts: &[&Attempt]) -> Vec<&'static str> {
-    let mut broken = Vec::new();
-    let over_at = if one.end == End::Left { one.ended_at + AFTER_LEAVING } else { one.ended_at };
-    let first_at = attempts.iter().map(|a| a.at).min();
+fn check_attempts(request: &SentRequest, attempts: &[&Attempt]) -> Vec<&'static str> {
+    let mut violations = Vec::new();
+    let last_allowed = if request.end == RequestEnd::Disconnected {
+        request.ended_at + DISCONNECT_GRACE
+    } else {
+        request.ended_at
+    };
+    let first_at = attempts.iter().map(|a| a.received_at).min();
     for attempt in attempts {
-        if attempt.at > over_at + SLACK {
-            broken.push("an attempt after its end");
+        if attempt.received_at > last_allowed + SLACK {
+            violations.push("an attempt after the request's end");
         }
-        let passed_ms = (attempt.at - one.sent_at).as_millis() as u64;
-        let left_ms = one.wait_ms.saturating_sub(passed_ms);
-        if attempt.told_ms > left_ms + TOLD_SLACK_MS + SLACK.as_millis() as u64 {
-            broken.push("told more time than is left");
+        let elapsed_ms = (attempt.received_at - request.sent_at).as_millis() as u64;
+        let left_ms = request.deadline_ms.saturating_sub(elapsed_ms);
+        if attempt.time_left_ms > left_ms + TIME_LEFT_SLACK_MS + SLACK.as_millis() as u64 {
+            violations.push("an attempt with more time than is left");
         }
-        if attempt.is_write && first_at.is_some_and(|first| attempt.at > first + REPEAT_WINDOW + SLACK) {
-            broken.push("repeated outside its window");
+        if attempt.is_write
+            && first_at.is_some_and(|first| attempt.received_at > first + RETRY_WINDOW + SLACK)
+        {
+            violations.push("a retry outside its window");
         }
-        if one.crossed_at.is_some_and(|closed| attempt.at < closed) {
-            broken.push("sent on, and its connection closed unanswered");
+        if request.closed_at.is_some_and(|closed| attempt.received_at < closed) {
+            violations.push("an attempt of a request whose connection was closed without a reply");
         }
     }
-    broken
+    violations
 }
 
-fn check_restarted_node(world: &World<'_>, attempts: &[Attempt], report: &mut Report) {
-    let (drained, restarted) = (world.began + DRAINS_AT + DRAIN_GRACE + SLACK, world.began + RESTARTS_AT);
+fn check_restarted_node(env: &TestEnv<'_>, attempts: &[Attempt], report: &mut Report) {
+    let (drained, restarted) = (env.began + DRAINS_AT + DRAIN_GRACE + SLACK, env.began + RESTARTS_AT);
     let at_node = || attempts.iter().filter(|a| a.node == 0);
-    let drain = at_node().filter(|a| a.at > drained && a.at < restarted).count();
-    if drain > 0 {
-        report.broken.push(format!("{drain} attempts at a node that drains"));
+    let while_draining = at_node().filter(|a| a.received_at > drained && a.received_at < restarted).count();
+    if while_draining > 0 {
+        report.violations.push(format!("{while_draining} attempts at a draining node"));
     }
-    let cold = at_node().filter(|a| a.at >= restarted && a.at < restarted + Duration::from_secs(2)).count();
+    let cold = at_node()
+        .filter(|a| a.received_at >= restarted && a.received_at < restarted + Duration::from_secs(2))
+        .count();
     if cold > SLOW_START_UNITS {
-        report.broken.push(format!("{cold} units to a node that started, {SLOW_START_UNITS} at most"));
+        report
+            .violations
+            .push(format!("{cold} units to a restarted node, at most {SLOW_START_UNITS} allowed"));
     }
 }
--- a/crates/gateway/tests/soak_harness/scenario.rs
+++ b/crates/gateway/tests/soak_harness/scenario.rs
@@ -1,17 +1,17 @@
-//! What is drawn for a play.
+//! Random scenarios of the soak test.
 
-use crate::service_harness::shims::Failure;
+use crate::service_harness::shims::SyscallFault;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use rustix::io::Errno;
 use std::time::Duration;
 
-/// Numbers drawn from a seed.
-pub struct Draw(Pcg64Mcg);
+/// A seeded random number generator.
+pub struct Random(Pcg64Mcg);
 
-impl Draw {
-    pub fn new(seed: u64) -> Draw {
-        Draw(Pcg64Mcg::new(u128::from(seed) << 64 | 0x9e37_79b9_7f4a_7c15))
+impl Random {
+    pub fn new(seed: u64) -> Random {
+        Random(Pcg64Mcg::new(u128::from(seed) << 64 | 0x9e37_79b9_7f4a_7c15))
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
@@ -27,54 +27,54 @@
     }
 }
 
-/// What happens to the process of a host.
+/// Signals to the process of the first host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signals {
     None,
-    /// SIGTERM, the kill at the platform's earliest, a new process.
+    /// SIGTERM, SIGKILL when the platform would send it at the earliest, and a new process.
     Restart,
-    /// Two of SIGTERM, then as before.
-    RestartTwiceTold,
-    /// SIGHUP three times, the last to another discovery.
+    /// SIGTERM twice, then as [`Signals::Restart`].
+    RestartAfterTwoSigterms,
+    /// SIGHUP three times, the last with another discovery address.
     Reloads,
-    /// SIGHUP, and SIGTERM at once.
+    /// SIGHUP with another discovery address, and SIGTERM right after it.
     ReloadAndRestart,
 }
 
-/// A play.
+/// Parameters of a run.
 #[derive(Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     pub hosts: usize,
-    /// Nodes listed; a few of them stand, and hold the shard that is asked for.
-    pub listed: usize,
+    /// Nodes in the list. Only a few fake nodes run: the listed ones share their addresses.
+    pub listed_nodes: usize,
     pub clients: usize,
-    /// Clients that only connect.
-    pub crowd: usize,
-    /// Of a hundred attempts, so many meet a fault at their node.
-    pub node_faults: u64,
-    /// Of a hundred requests, so many are left by their client.
-    pub leaves: u64,
+    /// Clients that connect and send nothing.
+    pub idle_clients: usize,
+    /// Percentage of attempts at which the node has a fault.
+    pub node_fault_percent: u64,
+    /// Percentage of requests during which the client disconnects.
+    pub disconnect_percent: u64,
     pub signals: Signals,
     pub clock_ahead_seconds: i64,
-    pub failures: Vec<Failure>,
-    /// A node drains in the middle, and starts anew.
+    pub syscall_faults: Vec<SyscallFault>,
+    /// Whether the first node drains and then restarts during the run.
     pub is_node_restarted: bool,
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
-impl Plan {
-    pub fn draw(seed: u64) -> Plan {
-        let mut draw = Draw::new(seed);
+impl Scenario {
+    pub fn random(seed: u64) -> Scenario {
+        let mut random = Random::new(seed);
         let signals = [
             Signals::None,
             Signals::Restart,
             Signals::Restart,
-            Signals::RestartTwiceTold,
+            Signals::RestartAfterTwoSigterms,
             Signals::Reloads,
             Signals::ReloadAndRestart,
         ];
-        let kinds = [
+        let fault_kinds = [
             ("sendto", Errno::NOBUFS),
             ("sendto", Errno::INTR),
             ("recvfrom", Errno::NOMEM),
@@ -86,25 +86,25 @@
             ("socket", Errno::NOBUFS),
             ("epoll_wait", Errno::INTR),
         ];
-        let failing = if draw.chance(50) { 1 + draw.below(3) } else { 0 };
-        Plan {
+        let fault_count = if random.chance(50) { 1 + random.below(3) } else { 0 };
+        Scenario {
             seed,
             hosts: 2,
-            listed: draw.pick(&[6, 6, 200, 200, 3_200]),
-            clients: draw.pick(&[4, 8, 12]),
-            crowd: draw.pick(&[0, 0, 0, 40, 120]),
-            node_faults: draw.pick(&[0, 5, 15]),
-            leaves: draw.pick(&[0, 5, 20]),
-            signals: draw.pick(&signals),
-            clock_ahead_seconds: draw.pick(&[0, 0, 3_600, -3_600, 7]),
-            failures: (0..failing)
+            listed_nodes: random.pick(&[6, 6, 200, 200, 3_200]),
+            clients: random.pick(&[4, 8, 12]),
+            idle_clients: random.pick(&[0, 0, 0, 40, 120]),
+            node_fault_percent: random.pick(&[0, 5, 15]),
+            disconnect_percent: random.pick(&[0, 5, 20]),
+            signals: random.pick(&signals),
+            clock_ahead_seconds: random.pick(&[0, 0, 3_600, -3_600, 7]),
+            syscall_faults: (0..fault_count)
                 .map(|_| {
-                    let (call, errno) = draw.pick(&kinds);
-                    Failure { call, errno, per_mille: draw.pick(&[10, 50, 100]) }
+                    let (call, errno) = random.pick(&fault_kinds);
+                    SyscallFault { call, errno, per_mille: random.pick(&[10, 50, 100]) }
                 })
                 .collect(),
-            is_node_restarted: draw.chance(60),
-            lasts: Duration::from_millis(5_500),
+            is_node_restarted: random.chance(60),
+            duration: Duration::from_millis(5_500),
         }
     }
 }
