--- a/crates/gateway/benches/harness/mod.rs
+++ b/crates/gateway/benches/harness/mod.rs
@@ -18,6 +18,7 @@
 
 impl Token for DueAt {}
 
+/// What a load came to; a command that completed with a status other than GOOD counts as not served.
 pub struct LoadResult {
     pub served: u64,
     pub not_served: u64,
@@ -36,8 +37,10 @@
     }
 }
 
-/// Loads a target over one session for `span`: with `depth` commands in flight, or, if `rate` is given, with
-/// that many commands a second, however many are in flight.
+/// Loads a target over one session for `span`.
+///
+/// `depth` commands are in flight. With a `rate`, that many commands are sent each second instead, however many
+/// are in flight.
 pub fn run_load(
     address: SocketAddr,
     target: &str,
@@ -71,13 +74,13 @@
     };
     let (began, mut in_flight, mut sent) = (Instant::now(), 0, 0u64);
     loop {
-        let over = began.elapsed() >= span;
-        if over && in_flight == 0 {
+        let is_over = began.elapsed() >= span;
+        if is_over && in_flight == 0 {
             break;
         }
         let due = rate.map(|r| began + Duration::from_secs_f64(sent as f64 / r));
         let is_next_due =
-            !over && if let Some(due) = due { Instant::now() >= due } else { in_flight < depth };
+            !is_over && if let Some(due) = due { Instant::now() >= due } else { in_flight < depth };
         if is_next_due {
             let lba =
                 sent * 6_151 % 1_000 * u64::from(blocks) % 120_000 / u64::from(blocks) * u64::from(blocks);
@@ -95,7 +98,7 @@
             (in_flight, sent) = (in_flight + 1, sent + 1);
             continue;
         }
-        let wait = match due.filter(|_| !over) {
+        let wait = match due.filter(|_| !is_over) {
             Some(due) => due.saturating_duration_since(Instant::now()),
             None => Duration::from_secs(5),
         };
@@ -110,7 +113,7 @@
                 }
             }
             Ok(_) => break,
-            Err(_) if rate.is_some() && !over => {}
+            Err(_) if rate.is_some() && !is_over => {}
             Err(_) => break,
         }
     }
@@ -164,8 +167,7 @@
         ticks / 100.0
     }
 
-    /// Voluntary context switches of all threads: each is a sleep that another thread or the kernel had to
-    /// end.
+    /// Voluntary context switches of all threads, each of which needs a wake-up.
     pub fn voluntary_switches(&self) -> u64 {
         let tasks =
             std::fs::read_dir(format!("/proc/{}/task", self.child.id())).into_iter().flatten().flatten();
@@ -198,8 +200,7 @@
         .replace("nominal = 400", "nominal = 1000000")
 }
 
-/// Starts a node that spends 1 ns on a command, and its directory, so that the gateway's own cost is
-/// measured.
+/// Starts a node that spends 1 ns on a command, and its directory, to measure the gateway's own cost.
 pub fn start_instant_node() -> Fleet {
     let host_settings = HostSettings::from_toml(&settings(([127, 0, 0, 1], 9).into())).expect("settings");
     let work = Duration::from_nanos(1);
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -15,8 +15,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Starts a relay that copies bytes both ways, with two threads per connection, as many as the gateway has
-/// per client.
+/// Starts a relay that copies bytes both ways. Like the gateway it has two threads per client.
 fn start_relay(to: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
@@ -25,7 +24,7 @@
             let node = TcpStream::connect(to).expect("the node");
             let _ = (client.set_nodelay(true), node.set_nodelay(true));
             for (mut from, mut into) in
-                [(client.try_clone().expect("a"), node.try_clone().expect("b")), (node, client)]
+                [(client.try_clone().expect("a socket"), node.try_clone().expect("a socket")), (node, client)]
             {
                 std::thread::spawn(move || {
                     let mut buffer = vec![0; 256 * 1024];
@@ -42,8 +41,7 @@
     address
 }
 
-/// Mean and maximum time in microseconds that the scheduler takes for a request and its outcome, with 44
-/// nodes.
+/// Mean and maximum time of the scheduler for a request and its outcome, in microseconds, with 44 nodes.
 fn scheduler_time_us() -> (f64, f64) {
     let host_settings = HostSettings::from_toml(QUICKSTART).expect("the quickstart");
     let mut scheduler = Scheduler::new(host_settings.scheduler.clone(), 1).expect("settings");
