--- a/crates/check/src/request.rs
+++ b/crates/check/src/request.rs
@@ -2,7 +2,7 @@
 
 use pearfork_host::settings::HostSettings;
 use pearfork_match::{Place, Tried};
-use pearfork_scsi::{Media, MediaOp};
+use pearfork_scsi::{MediaCommand, MediaOp};
 use serde::Serialize;
 use std::fmt::Write;
 
@@ -74,7 +74,7 @@
         "compare-and-write" => MediaOp::CompareAndWrite,
         other => return Err(format!("`{other}` is no operation")),
     };
-    let media = Media { op, lba: asked.lba, blocks: asked.blocks, fua: asked.fua, group: asked.group };
+    let media = MediaCommand { op, lba: asked.lba, blocks: asked.blocks, fua: asked.fua, group: asked.group };
     let fields = plan.fields_of(v, &media, &asked.initiator, asked.time.ms());
     let explained = plan.matching.rules().explain(&fields);
     let mut out = String::new();
--- a/crates/day/src/figures.rs
+++ b/crates/day/src/figures.rs
@@ -4,7 +4,7 @@
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::record::{Class, ClassOf, Figures, Group as SameNodes, Repeats, Volume};
 use pearfork_rulecheck::wire::{Op, Touch};
-use pearfork_scsi::{Media, MediaOp};
+use pearfork_scsi::{MediaCommand, MediaOp};
 use std::sync::Arc;
 
 /// The figures that a record of hosts with this plan is judged by; `began_ms` is when it began, of the Unix epoch.
@@ -39,7 +39,8 @@
         };
         // A record does not hold who asked, nor the time of day. The rules of a scripted day do not ask for the first;
         // for the second the start of the record stands: a day must not run over an hour that its rules name.
-        let media = Media { op, lba: t.lba, blocks: u32::try_from(t.blocks).ok()?, fua: false, group: 0 };
+        let media =
+            MediaCommand { op, lba: t.lba, blocks: u32::try_from(t.blocks).ok()?, fua: false, group: 0 };
         Some(usize::from(own.matching.class_of(&own.fields_of(volume, &media, "", began_ms))))
     };
     let volumes = plan.volumes.iter().map(|v| {
--- a/crates/day/src/judge.rs
+++ b/crates/day/src/judge.rs
@@ -5,7 +5,7 @@
 use pearfork_record::Recording;
 use pearfork_rulecheck::trace::Trace;
 use pearfork_rulecheck::{check_trace, Figures, Note, Report};
-use pearfork_scsi::unit_of;
+use pearfork_scsi::decode_lun;
 
 /// A record that can't be judged.
 #[derive(Debug, thiserror::Error)]
@@ -29,7 +29,7 @@
 /// The seven rules over notes of hosts with a plan. In a day each volume has a unit number of its own.
 pub fn judge_notes(notes: &[Note], plan: &HostSettings, figures: Figures) -> Judged {
     let volume_of = |_: u16, lun: u64| {
-        let unit = unit_of(lun)?;
+        let unit = decode_lun(lun)?;
         plan.volumes.iter().find(|v| v.lun == unit).map(|v| v.id.0)
     };
     let trace = Trace::read(notes, &figures, &volume_of);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -28,7 +28,7 @@
 use crate::transport::{Channels, HolderEvent, Transport, TransportCommand, TransportHandle, VoterEvent};
 use crate::voter_thread::VoterThread;
 use crossbeam_channel::{bounded, Sender};
-use pearfork_net::{spawn_small, Poller};
+use pearfork_net::{spawn_small_stack, Poller};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -130,7 +130,7 @@
             clock: self.clock,
             seed: self.nonce,
         };
-        let thread = spawn_small("fleet-voter", move || voter_thread.run(opened))?;
+        let thread = spawn_small_stack("fleet-voter", move || voter_thread.run(opened))?;
         Ok(StartedVoter { listener, events, thread })
     }
 
@@ -144,7 +144,7 @@
         let observer = Box::new(move |statuses: &_| shared.set_links(statuses));
         let traffic = self.shared.traffic.clone();
         let transport = Transport::new(self.settings.clone(), listener, poller, channels, observer, traffic)?;
-        Ok(spawn_small("fleet-hub", move || transport.run())?)
+        Ok(spawn_small_stack("fleet-hub", move || transport.run())?)
     }
 }
 
@@ -181,7 +181,7 @@
         let channels = Channels { commands: command_receiver, voter: voter.clone(), holder };
         threads.push(context.start_transport(listener, poller, channels)?);
         let client = LeaseClient::new(&context, consumer, holder_events, voter.clone());
-        let holder_thread = spawn_small("fleet-holder", move || client.run())?;
+        let holder_thread = spawn_small_stack("fleet-holder", move || client.run())?;
         let settings = &context.settings;
         tracing::info!(
             fleet = settings.name,
--- a/crates/fleet/src/transport.rs
+++ b/crates/fleet/src/transport.rs
@@ -19,7 +19,7 @@
 use crossbeam_channel::{Receiver, Sender};
 use links::Link;
 use pearfork_ledger::{Hello, HostNumber, Message, PROTOCOL_VERSION};
-use pearfork_net::{Poller, Ready, Want};
+use pearfork_net::{Interest, Poller, Readiness};
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
 use std::net::{TcpListener, TcpStream};
@@ -76,7 +76,7 @@
     ) -> io::Result<Transport> {
         if let Some(listener) = &listener {
             listener.set_nonblocking(true)?;
-            poller.add(listener, LISTENER, Want::Read)?;
+            poller.add(listener, LISTENER, Interest::Readable)?;
         }
         let hello = Hello {
             version: PROTOCOL_VERSION,
@@ -114,7 +114,7 @@
                 tracing::error!("polling the fleet sockets failed; the transport stops");
                 return;
             }
-            for Ready { token, broken, .. } in ready.drain(..) {
+            for Readiness { token, hung_up: broken, .. } in ready.drain(..) {
                 if token == LISTENER {
                     self.accept();
                 } else {
@@ -158,7 +158,7 @@
         let id = self.next_connection;
         let is_kept = self.connections.len() < max_connections
             && stream.set_nonblocking(true).is_ok()
-            && self.poller.add(&stream, id, Want::Read).is_ok();
+            && self.poller.add(&stream, id, Interest::Readable).is_ok();
         if is_kept {
             let _ = stream.set_nodelay(true);
             self.connections.insert(id, Connection::new(stream, None, Instant::now(), self.traffic.clone()));
@@ -190,10 +190,10 @@
             return self.close(id, "refused");
         }
         // The poller watches for reading or writing, not both. Queued output goes first; its size is bounded.
-        let want = if c.has_output() { Want::Write } else { Want::Read };
+        let want = if c.has_output() { Interest::Writable } else { Interest::Readable };
         if c.watched != want {
             c.watched = want;
-            let _ = self.poller.change(&c.stream, id, want);
+            let _ = self.poller.modify(&c.stream, id, want);
         }
     }
 }
--- a/crates/fleet/src/transport/connection.rs
+++ b/crates/fleet/src/transport/connection.rs
@@ -3,7 +3,7 @@
 use super::traffic::Traffic;
 use crate::frame;
 use pearfork_ledger::{HostNumber, Message};
-use pearfork_net::Want;
+use pearfork_net::Interest;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// A dialed connection is not established yet.
     pub(super) connecting: bool,
     /// What the poller watches the socket for.
-    pub(super) watched: Want,
+    pub(super) watched: Interest,
     pub(super) opened_at: Instant,
     pub(super) last_received_at: Instant,
     pub(super) keepalive_sent_at: Instant,
@@ -55,7 +55,7 @@
             dialed,
             peer: None,
             connecting: dialed.is_some(),
-            watched: if dialed.is_some() { Want::Write } else { Want::Read },
+            watched: if dialed.is_some() { Interest::Writable } else { Interest::Readable },
             opened_at: now,
             last_received_at: now,
             keepalive_sent_at: now,
--- a/crates/fleet/src/transport/links.rs
+++ b/crates/fleet/src/transport/links.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::Transport;
 use pearfork_ledger::{HostNumber, Message};
-use pearfork_net::{begin_connect, Want};
+use pearfork_net::{start_connect, Interest};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -126,9 +126,9 @@
     fn dial(&mut self, host: HostNumber, now: Instant) {
         let Some(voter) = self.settings.voters.iter().find(|v| v.host == host) else { return };
         let id = self.next_connection;
-        let stream = begin_connect(&voter.address).and_then(|stream| {
+        let stream = start_connect(&voter.address).and_then(|stream| {
             let _ = stream.set_nodelay(true);
-            self.poller.add(&stream, id, Want::Write)?;
+            self.poller.add(&stream, id, Interest::Writable)?;
             Ok(stream)
         });
         if let Some(link) = self.links.get_mut(&host) {
--- a/crates/gateway/benches/bed/mod.rs
+++ b/crates/gateway/benches/bed/mod.rs
@@ -4,8 +4,8 @@
 use hdrhistogram::Histogram;
 use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::{Command, InitiatorConfig, Payload};
-use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
-use pearfork_scsi::{Media, MediaOp};
+use pearfork_net::{CommandToken, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{MediaCommand, MediaOp};
 use pearfork_stand::{Fleet, FleetSpec, Recorder};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -15,7 +15,7 @@
 
 pub struct At(pub Instant);
 
-impl Token for At {}
+impl CommandToken for At {}
 
 pub struct Run {
     pub served: u64,
@@ -53,7 +53,7 @@
         extension: false,
     };
     let c: Arc<Connection<At>> =
-        Connection::open(address, config, Duration::from_secs(5), TapRef::default(), move |e| {
+        Connection::open(address, config, Duration::from_secs(5), StreamTap::default(), move |e| {
             drop(to.send(e))
         })
         .expect("a login");
@@ -76,13 +76,13 @@
         let may = !over && if let Some(due) = due { Instant::now() >= due } else { out < depth };
         if may {
             let lba = n * 6_151 % 1_000 * u64::from(blocks) % 120_000 / u64::from(blocks) * u64::from(blocks);
-            let m = Media { op, lba, blocks, fua: false, group: 0 };
+            let m = MediaCommand { op, lba, blocks, fua: false, group: 0 };
             let command = Command {
                 lun: 0,
                 cdb: m.to_cdb(),
-                read_len: m.data_in(512) as u32,
+                read_len: m.data_in_length(512) as u32,
                 data: data.clone(),
-                ext: None,
+                metadata: None,
             };
             if c.submit(At(due.unwrap_or_else(Instant::now)), command).is_err() {
                 break;
@@ -95,7 +95,7 @@
             None => Duration::from_secs(5),
         };
         match events.recv_timeout(wait) {
-            Ok(ConnectionEvent::Done(at, done)) => {
+            Ok(ConnectionEvent::Completed(at, done)) => {
                 out -= 1;
                 if done.status == 0 {
                     run.served += 1;
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -9,7 +9,7 @@
 use pearfork::{AttemptOutcome, AttemptResult, Event, ListKind, NodeEntry, Request, Scheduler};
 use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::InitiatorConfig;
-use pearfork_net::{Connection, TapRef};
+use pearfork_net::{Connection, StreamTap};
 use pearfork_scsi::MediaOp;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -167,8 +167,14 @@
                 digests: false,
                 extension: false,
             };
-            Connection::<At>::open(gateway.address, config, Duration::from_secs(5), TapRef::default(), |_| {})
-                .expect("a login")
+            Connection::<At>::open(
+                gateway.address,
+                config,
+                Duration::from_secs(5),
+                StreamTap::default(),
+                |_| {},
+            )
+            .expect("a login")
         })
         .collect();
     std::thread::sleep(Duration::from_millis(500));
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -4,7 +4,7 @@
 //! that can't be told to leave, or one that leaves untold.
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use pearfork_net::get_to_start;
+use pearfork_net::retry_startup_shortage;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::backend::SignalDelivery;
 use signal_hook::iterator::exfiltrator::SignalOnly;
@@ -27,7 +27,7 @@
 /// # Errors
 /// No descriptor or thread could be had.
 pub fn watch() -> io::Result<Receiver<i32>> {
-    let mut delivery = get_to_start(begin)?;
+    let mut delivery = retry_startup_shortage(begin)?;
     let (to, from) = bounded(MOST_WAITING);
     std::thread::Builder::new()
         .name("signals".to_owned())
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,10 +4,10 @@
 use pearfork_day::{figures, judge_notes};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
-use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
-use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
+use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
+use pearfork_net::{CommandToken, Connection, ConnectionEvent, StreamTap};
 use pearfork_rulecheck::{Place, Report, What};
-use pearfork_scsi::{lun_field, Media, MediaOp};
+use pearfork_scsi::{encode_lun, MediaCommand, MediaOp};
 use pearfork_stand::{Fleet, FleetSpec, Recorder};
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver};
@@ -95,7 +95,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Number(pub u32);
 
-impl Token for Number {}
+impl CommandToken for Number {}
 
 /// A plain initiator.
 pub struct Asker {
@@ -125,21 +125,21 @@
         };
         let tap = recorder.tap(Place::Client { host }, |_, _, _| {}).map(|t| (t, 0));
         let tell = move |e| drop(to.send(e));
-        let connection = Connection::open(address, config, LONG, TapRef(tap), tell)?;
+        let connection = Connection::open(address, config, LONG, StreamTap(tap), tell)?;
         Ok(Asker { connection, events, unit: volume.lun, next: std::cell::Cell::new(1) })
     }
 
     /// Sends without waiting; its number.
     pub fn send(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> Number {
-        let media = Media { op, lba, blocks, fua: false, group: 0 };
+        let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
         let number = Number(self.next.get());
         self.next.set(number.0 + 1);
         let command = Command {
-            lun: lun_field(self.unit),
+            lun: encode_lun(self.unit),
             cdb: media.to_cdb(),
-            read_len: media.data_in(512) as u32,
+            read_len: media.data_in_length(512) as u32,
             data: Payload::from(data),
-            ext: None,
+            metadata: None,
         };
         self.connection.submit(number, command).expect("an open session");
         number
@@ -150,30 +150,30 @@
     }
 
     /// The next command to end.
-    pub fn done(&self) -> (Number, CommandDone) {
+    pub fn done(&self) -> (Number, CommandCompletion) {
         match self.event() {
-            ConnectionEvent::Done(number, done) => (number, *done),
+            ConnectionEvent::Completed(number, done) => (number, *done),
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn ask(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandDone {
+    pub fn ask(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandCompletion {
         let number = self.send(op, lba, blocks, data);
         let (ended, done) = self.done();
         assert_eq!(ended, number);
         done
     }
 
-    pub fn write(&self, lba: u64, blocks: u32, fill: u8) -> CommandDone {
+    pub fn write(&self, lba: u64, blocks: u32, fill: u8) -> CommandCompletion {
         self.ask(MediaOp::Write, lba, blocks, vec![fill; blocks as usize * 512])
     }
 
-    pub fn read(&self, lba: u64, blocks: u32) -> CommandDone {
+    pub fn read(&self, lba: u64, blocks: u32) -> CommandCompletion {
         self.ask(MediaOp::Read, lba, blocks, Vec::new())
     }
 }
 
 /// Status and sense key.
-pub fn ended(d: &CommandDone) -> (u8, u8) {
+pub fn ended(d: &CommandCompletion) -> (u8, u8) {
     (d.status, pearfork_scsi::Sense::key_and_code(&d.sense).map_or(0, |k| k.0))
 }
--- a/crates/gateway/tests/front.rs
+++ b/crates/gateway/tests/front.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::*;
 use pearfork_iscsi::{InitiatorConfig, InitiatorError, LoginStatus};
-use pearfork_net::{ConnectError, Connection, ConnectionEvent, TapRef};
-use pearfork_scsi::{lun_field, status, Media, MediaOp, SenseKey};
+use pearfork_net::{ConnectError, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{encode_lun, status, MediaCommand, MediaOp, SenseKey};
 use pearfork_stand::FleetSpec;
 
 fn keyless() -> String {
@@ -42,7 +42,7 @@
             digests: true,
             extension: false,
         };
-        Connection::<Number>::open(w.hosts[0].address(), config, LONG, TapRef::default(), |_| {})
+        Connection::<Number>::open(w.hosts[0].address(), config, LONG, StreamTap::default(), |_| {})
     };
     let refused = |r: Result<_, ConnectError>| match r {
         Err(ConnectError::Login { source: InitiatorError::Login(s), .. }) => s,
@@ -67,14 +67,14 @@
         extension: false,
     };
     let tell = move |e: ConnectionEvent<Number>| drop(to.send(e));
-    let c = Connection::open(w.hosts[0].address(), config, LONG, TapRef::default(), tell).unwrap();
+    let c = Connection::open(w.hosts[0].address(), config, LONG, StreamTap::default(), tell).unwrap();
     for (op, data) in [(MediaOp::Write, vec![8u8; 300 * 512]), (MediaOp::Read, Vec::new())] {
-        let m = Media { op, lba: 5, blocks: 300, fua: false, group: 0 };
-        let read_len = m.data_in(512) as u32;
+        let m = MediaCommand { op, lba: 5, blocks: 300, fua: false, group: 0 };
+        let read_len = m.data_in_length(512) as u32;
         let command =
-            pearfork_iscsi::Command { lun: 0, cdb: m.to_cdb(), read_len, data: data.into(), ext: None };
+            pearfork_iscsi::Command { lun: 0, cdb: m.to_cdb(), read_len, data: data.into(), metadata: None };
         c.submit(Number(1), command).map_err(|_| "not sent").unwrap();
-        let Ok(ConnectionEvent::Done(_, done)) = events.recv_timeout(LONG) else { panic!("no answer") };
+        let Ok(ConnectionEvent::Completed(_, done)) = events.recv_timeout(LONG) else { panic!("no answer") };
         assert_eq!((done.status, done.data.len()), (status::GOOD, read_len as usize));
     }
 }
@@ -87,7 +87,7 @@
     eventually("the read at the host", || {
         w.hosts[0].class_counts().unwrap().iter().map(|c| c.taken).sum::<u64>() == 1
     });
-    a.connection.manage(5, lun_field(0));
+    a.connection.send_task_management(5, encode_lun(0));
     eventually("its end", || {
         w.hosts[0].class_counts().unwrap().iter().map(|c| c.abandoned).sum::<u64>() == 1
     });
--- a/crates/gateway/tests/program/mod.rs
+++ b/crates/gateway/tests/program/mod.rs
@@ -5,7 +5,7 @@
 pub mod crowd;
 pub mod shims;
 
-use pearfork_net::http::{Answer, Server};
+use pearfork_net::http::{Response, Server};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -270,9 +270,9 @@
         let (seq, list) = text.lock().unwrap().clone();
         if path.contains(&format!("since={seq}&")) {
             std::thread::sleep(Duration::from_millis(50));
-            return Answer::ok("application/json", format!(r#"{{"seq":{seq},"whole":false,"hosts":[]}}"#));
+            return Response::ok("application/json", format!(r#"{{"seq":{seq},"whole":false,"hosts":[]}}"#));
         }
-        Answer::ok("application/json", list)
+        Response::ok("application/json", list)
     };
     Server::start(TcpListener::bind("127.0.0.1:0").unwrap(), answer).unwrap()
 }
--- a/crates/gateway/tests/troubles.rs
+++ b/crates/gateway/tests/troubles.rs
@@ -173,7 +173,7 @@
         std::thread::sleep(std::time::Duration::from_micros(n * 100 % 4_000));
         a.connection.abort(|t| *t == number);
         match a.event() {
-            ConnectionEvent::Done(..) => ends[0] += 1,
+            ConnectionEvent::Completed(..) => ends[0] += 1,
             ConnectionEvent::Aborted(_) => ends[1] += 1,
             other => panic!("{other:?}"),
         }
@@ -280,7 +280,7 @@
     let mut answers = 0;
     loop {
         match a.event() {
-            ConnectionEvent::Done(..) => answers += 1,
+            ConnectionEvent::Completed(..) => answers += 1,
             ConnectionEvent::Closed(..) => break,
             _ => {}
         }
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -11,9 +11,9 @@
 use pearfork::{AttemptResult, Event, ListKind, NodeEntry, Reason, Request};
 pub use pearfork_drive::AttemptId;
 use pearfork_drive::{Driver, NodeReport, Step};
-use pearfork_iscsi::ext::{RepeatKey, Report, Tag};
+use pearfork_iscsi::node_extension::{CommandMetadata, IdempotencyKey, LoadReport};
 use pearfork_iscsi::Payload;
-use pearfork_scsi::Media;
+use pearfork_scsi::MediaCommand;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     /// The volume.
     pub volume: VolumeId,
     /// What is to be done.
-    pub media: Media,
+    pub media: MediaCommand,
     /// Name of the initiator, for the rules that match requests.
     pub initiator: Arc<str>,
     /// What the client sent.
@@ -79,13 +79,13 @@
     /// Unit number at the node: the volume's position.
     pub volume: VolumeId,
     /// What is to be done.
-    pub media: Media,
+    pub media: MediaCommand,
     /// Bytes in a block.
     pub block_len: u32,
     /// Data for the node.
     pub data: Payload,
     /// Repeat key and size.
-    pub tag: Tag,
+    pub tag: CommandMetadata,
     /// Cleared when the attempt is over for the host: it must not go out any more.
     pub wanted: Arc<AtomicBool>,
     /// From this moment on the part of its volume's limit that it was drawn from may be another host's: it must not go
@@ -120,7 +120,7 @@
     /// A client's connection is gone.
     SessionGone(u64),
     /// An attempt ended.
-    Ended(AttemptId, Ended, Option<Report>),
+    Ended(AttemptId, Ended, Option<LoadReport>),
     /// The node list, or a change of it.
     List(ListKind, Vec<NodeEntry>),
     /// This host's parts of volumes' limits from now on.
@@ -180,7 +180,7 @@
     spec: Part,
     data: Payload,
     units: f64,
-    key: RepeatKey,
+    key: IdempotencyKey,
 }
 
 /// Drives one [`pearfork::Scheduler`].
@@ -343,7 +343,7 @@
             return out.push(Effect::Answer(s.origin, Final::Served(Served::Good(Payload::new()))));
         }
         let block = volume.unit.block_len;
-        let fields = |media: &Media| plan.fields_of(volume, media, &s.initiator, s.arrived_ms);
+        let fields = |media: &MediaCommand| plan.fields_of(volume, media, &s.initiator, s.arrived_ms);
         let whole = fields(&s.media);
         let class = self.matching.class_of(&whole);
         let plan_number = self.matching.plan_of(&whole).unwrap_or(volume.plan);
@@ -355,20 +355,20 @@
         let mut requests = Vec::with_capacity(parts.len());
         for (n, part) in parts.iter().enumerate() {
             let id = self.driver.allocate_id();
-            let moved = part.media.moves(block);
+            let moved = part.media.transfer_length(block);
             let valid_until = arrived + rule.deadline_ms;
             let live = Live {
                 origin: s.origin,
                 part: n,
                 volume: s.volume,
                 spec: *part,
-                data: s.data.slice(part.offset, part.media.data_out(block) as usize),
+                data: s.data.slice(part.offset, part.media.data_out_length(block) as usize),
                 units: plan.units_of(moved),
-                key: RepeatKey {
+                key: IdempotencyKey {
                     host: plan.number,
-                    boot: self.boot,
+                    host_start_s: self.boot,
                     session: s.session_handle,
-                    command: s.command_number,
+                    cmd_sn: s.command_number,
                     part: n as u16,
                 },
             };
@@ -449,7 +449,7 @@
             media: live.spec.media,
             block_len,
             data: live.data.clone(),
-            tag: Tag {
+            tag: CommandMetadata {
                 key: live.key,
                 attempt: attempt.number,
                 volume: live.volume.0,
@@ -479,7 +479,7 @@
         now: f64,
         id: AttemptId,
         ended: Ended,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         out: &mut Vec<Effect>,
     ) {
         let Some(node) = self.driver.node_of(id) else { return };
@@ -547,14 +547,14 @@
 }
 
 /// A node's report as the module is told it.
-fn told(r: Report) -> NodeReport {
+fn told(r: LoadReport) -> NodeReport {
     NodeReport {
         used_percent: Some(r.used_percent).filter(|u| *u != u16::MAX).map(f64::from),
-        other_hosts_units: f64::from(r.foreign_milli_units) / 1_000.0,
-        queue: Some(f64::from(r.queue)),
+        other_hosts_units: f64::from(r.other_hosts_milli_units) / 1_000.0,
+        queue: Some(f64::from(r.queued)),
         in_flight: Some(f64::from(r.in_flight)),
         latency_ms: Some(f64::from(r.service_us) / 1_000.0),
-        util: Some(f64::from(r.util_milli) / 1_000.0),
+        util: Some(f64::from(r.utilization_milli) / 1_000.0),
     }
 }
 
--- a/crates/host/src/engine.rs
+++ b/crates/host/src/engine.rs
@@ -3,7 +3,7 @@
 use crate::dispatcher::{AttemptId, Dispatcher, Effect, Ended, Final, Input, LentPart, Origin};
 use crate::links::Links;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
-use pearfork_iscsi::ext::Report;
+use pearfork_iscsi::node_extension::LoadReport;
 use pearfork_net::Clock;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 impl Message {
-    pub(crate) fn ended(id: AttemptId, ended: Ended, report: Option<Report>) -> Message {
+    pub(crate) fn ended(id: AttemptId, ended: Ended, report: Option<LoadReport>) -> Message {
         Message::Input(Input::Ended(id, ended, report))
     }
 }
--- a/crates/host/src/front.rs
+++ b/crates/host/src/front.rs
@@ -7,9 +7,9 @@
 use crate::settings::HostSettings;
 use crate::volumes::{Volume, VolumeId};
 use crossbeam_channel::Sender;
-use pearfork_iscsi::{Access, LoginStatus, Payload, Response, ScsiCommand, TaskTag, TmfFunction};
-use pearfork_net::{Clock, Service, Session};
-use pearfork_scsi::{lun_field, report_luns, status, unit_of, Answer, Cdb, MediaOp, Sense};
+use pearfork_iscsi::{AccessControl, LoginStatus, Payload, Response, ScsiCommand, TaskTag, TmfFunction};
+use pearfork_net::{Clock, Session, SessionHandler};
+use pearfork_scsi::{decode_lun, encode_lun, report_luns, status, Cdb, MediaOp, Sense, UnitResponse};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,7 +20,7 @@
     pub(crate) address: SocketAddr,
 }
 
-impl Access for Door {
+impl AccessControl for Door {
     fn targets(&self, initiator: &str) -> Vec<(String, String)> {
         let mut out: Vec<(String, String)> = Vec::new();
         for v in self.plan.volumes.iter().filter(|v| v.admits(initiator)) {
@@ -31,7 +31,7 @@
         out
     }
 
-    fn admit(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
+    fn authorize_login(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
         let mut of_target = self.plan.volumes.iter().filter(|v| v.target == target).peekable();
         if of_target.peek().is_none() {
             return Err(LoginStatus::NOT_FOUND);
@@ -116,20 +116,20 @@
     /// What a command leads to: an answer at once, or a submission.
     fn consider(&self, client: &mut Client, command: &ScsiCommand) -> Result<Submission, Response> {
         let parsed = Cdb::parse(&command.cdb);
-        if let Ok(Cdb::ReportLuns { select, room }) = parsed {
-            return Err(local(report_luns(select, room, sorted(&client.units))));
+        if let Ok(Cdb::ReportLuns { select_report, allocation_length }) = parsed {
+            return Err(local(report_luns(select_report, allocation_length, sorted(&client.units))));
         }
-        let volume = unit_of(command.lun).and_then(|u| client.units.get(&u)).map(|id| self.volume(*id));
+        let volume = decode_lun(command.lun).and_then(|u| client.units.get(&u)).map(|id| self.volume(*id));
         let Some(volume) = volume else {
             // A unit that is not there still says so by INQUIRY (SPC-4, section 6.6.1).
             return Err(match parsed {
-                Ok(Cdb::Inquiry { page: None, room }) => {
+                Ok(Cdb::Inquiry { page: None, allocation_length }) => {
                     let mut none = vec![0x7f, 0, 6, 2, 31];
-                    none.resize(36.min(room as usize).max(5), 0);
-                    none.truncate(room as usize);
-                    local(Answer::Data(none))
+                    none.resize(36.min(allocation_length as usize).max(5), 0);
+                    none.truncate(allocation_length as usize);
+                    local(UnitResponse::Data(none))
                 }
-                _ => check(Sense::NO_UNIT),
+                _ => check(Sense::LOGICAL_UNIT_NOT_SUPPORTED),
             });
         };
         let cdb = parsed.map_err(check)?;
@@ -137,23 +137,23 @@
             client.attention = false;
             return Err(check(Sense::RESET));
         }
-        let mut media = match volume.unit.answer(&cdb) {
-            Answer::Media(media) => media,
+        let mut media = match volume.unit.respond(&cdb) {
+            UnitResponse::Media(media) => media,
             other => return Err(local(other)),
         };
         let block = volume.unit.block_len;
-        let full = media.moves(block);
+        let full = media.transfer_length(block);
         let sent = command.data.len() as u64;
-        if media.op == MediaOp::CompareAndWrite && sent != media.data_out(block) {
+        if media.op == MediaOp::CompareAndWrite && sent != media.data_out_length(block) {
             // Danger: half a comparison, or a write beside one, is not what the client meant.
             return Err(Response { full_length: full, ..check(Sense::invalid_field(13)) });
         }
-        if sent < media.data_out(block) {
+        if sent < media.data_out_length(block) {
             // The initiator announced less than the CDB moves: whole blocks of what came are taken, and the residual
             // tells the rest (RFC 7143, section 11.4.5.2). A part of a block changes nothing.
             media.blocks = (sent / u64::from(block)) as u32;
         }
-        let needed = media.data_out(block);
+        let needed = media.data_out_length(block);
         client.lengths.insert(command.tag.0, full);
         Ok(Submission {
             origin: Origin { session: client.session.id().0, tag: command.tag.0 },
@@ -178,19 +178,19 @@
     Response { status: status::CHECK_CONDITION, sense: sense.to_bytes(), ..Default::default() }
 }
 
-fn local(answer: Answer) -> Response {
+fn local(answer: UnitResponse) -> Response {
     match answer {
-        Answer::Data(data) => {
+        UnitResponse::Data(data) => {
             let data: Payload = data.into();
             Response { full_length: data.len() as u64, data, ..Default::default() }
         }
-        Answer::Check(sense) => check(sense),
+        UnitResponse::CheckCondition(sense) => check(sense),
         // Never reached by the callers, who take media commands out before.
-        Answer::Media(_) => check(Sense::INVALID_OPCODE),
+        UnitResponse::Media(_) => check(Sense::INVALID_OPCODE),
     }
 }
 
-impl Service for Front {
+impl SessionHandler for Front {
     fn logged_in(
         &self,
         session: &Arc<Session>,
@@ -231,7 +231,7 @@
         self.tell(Input::Abandon(Origin { session: session.id().0, tag: tag.0 }));
     }
 
-    fn managed(&self, session: &Arc<Session>, function: TmfFunction, lun: u64) {
+    fn task_management(&self, session: &Arc<Session>, function: TmfFunction, lun: u64) {
         if !matches!(function, TmfFunction::ClearTaskSet | TmfFunction::LunReset | TmfFunction::TargetReset) {
             return;
         }
@@ -243,7 +243,7 @@
                 .iter_mut()
                 .filter(|(id, c)| **id != session.id().0 && Some(&c.target) == target.as_ref());
             others
-                .filter(|(_, c)| whole || unit_of(lun).is_some_and(|u| c.units.contains_key(&u)))
+                .filter(|(_, c)| whole || decode_lun(lun).is_some_and(|u| c.units.contains_key(&u)))
                 .map(|(_, c)| {
                     c.attention = true;
                     c.session.clone()
@@ -252,7 +252,7 @@
         };
         for other in others {
             for tag in
-                other.abort_tasks(if whole { None } else { Some(lun_field(unit_of(lun).unwrap_or(0))) })
+                other.abort_tasks(if whole { None } else { Some(encode_lun(decode_lun(lun).unwrap_or(0))) })
             {
                 self.aborted(&other, tag);
             }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -12,7 +12,7 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_fleet::FleetMember;
 use pearfork_iscsi::Limits;
-use pearfork_net::{http, spawn_small, Clock, Portal, PortalConfig};
+use pearfork_net::{http, spawn_small_stack, Clock, Portal, PortalConfig};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -118,7 +118,9 @@
         let front = Arc::new(Front::new(plan.clone(), engine.clone(), clock));
         let outward = Outward { front: front.clone(), asks: asks.clone() };
         let engine_links = links.clone();
-        spawn_small("engine", move || engine::run(dispatcher, clock, &messages, &engine_links, &outward))?;
+        spawn_small_stack("engine", move || {
+            engine::run(dispatcher, clock, &messages, &engine_links, &outward)
+        })?;
         let watcher = Watcher {
             host: plan.number,
             directory: plan.directory,
@@ -126,13 +128,13 @@
             links: links.clone(),
             engine: engine.clone(),
         };
-        spawn_small("directory", move || watcher.run(&asked))?;
+        spawn_small_stack("directory", move || watcher.run(&asked))?;
         let config = PortalConfig {
             access: Arc::new(Door { plan: plan.clone(), address }),
-            limits: Limits { commands: plan.commands, transfer: plan.max_transfer },
-            sessions: plan.sessions,
-            unread: UNREAD,
-            first_handle: (boot.wrapping_mul(40_503) >> 8) as u16,
+            limits: Limits { max_commands: plan.commands, max_transfer_bytes: plan.max_transfer },
+            max_sessions: plan.sessions,
+            max_unsent_bytes: UNREAD,
+            first_tsih: (boot.wrapping_mul(40_503) >> 8) as u16,
             tap: None,
         };
         let fleet = match (&plan.fleet, shared) {
@@ -148,13 +150,16 @@
             Some(listener) => {
                 let (plan, engine, front) = (plan.clone(), engine.clone(), front.clone());
                 let (draining, asked, fleet) = (draining.clone(), drain.clone(), fleet.clone());
-                let answer = move |call: http::Call<'_>| match status::order(call) {
+                let answer = move |call: http::Request<'_>| match status::order(call) {
                     Some(status::Order::Drain) => {
                         let again = draining.swap(true, Ordering::SeqCst);
                         // One word is enough; whoever asks again is told that it is under way.
                         let _ = asked.try_send(());
                         let words = if again { "it drains already\n" } else { "it drains\n" };
-                        http::Answer { status: 202, ..http::Answer::ok("text/plain; charset=utf-8", words) }
+                        http::Response {
+                            status: 202,
+                            ..http::Response::ok("text/plain; charset=utf-8", words)
+                        }
                     }
                     None => {
                         let draining = draining.load(Ordering::SeqCst);
@@ -163,7 +168,7 @@
                         status::answer(call, &plan, snapshot, front.sessions(), draining, fleet.as_ref())
                     }
                 };
-                Some(http::Server::start_with(listener, answer)?)
+                Some(http::Server::start_with_methods(listener, answer)?)
             }
             None => None,
         };
@@ -242,7 +247,7 @@
         while !sent() && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
-        self.portal.kill();
+        self.portal.close_all();
         self.links.close_all();
         if let Some(fleet) = &self.fleet {
             // Nothing goes out any more: what this host held of the fleet's budgets is of use to the others at once.
@@ -261,7 +266,7 @@
     pub fn kill(&self) {
         let _ = self.engine.try_send(Message::Stop);
         let _ = self.asks.try_send(Ask::Stop);
-        self.portal.kill();
+        self.portal.close_all();
         self.links.close_all();
         if let Some(fleet) = &self.fleet {
             fleet.stop();
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -6,9 +6,9 @@
 use crate::dispatcher::{AttemptId, Ended, Order, Served};
 use crate::engine::Message;
 use crossbeam_channel::Sender;
-use pearfork_iscsi::{Command, CommandDone, InitiatorConfig};
-use pearfork_net::{lock, spawn_small, Clock, Connection, ConnectionEvent, TapRef, Token};
-use pearfork_scsi::{lun_field, status, Sense, SenseKey};
+use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig};
+use pearfork_net::{lock, spawn_small_stack, Clock, CommandToken, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{encode_lun, status, Sense, SenseKey};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,8 +23,8 @@
     read_len: usize,
 }
 
-impl Token for Sent {
-    fn is_wanted(&self) -> bool {
+impl CommandToken for Sent {
+    fn is_needed(&self) -> bool {
         self.wanted.load(Ordering::SeqCst) && !over(self.not_after)
     }
 }
@@ -115,7 +115,7 @@
                 *state = State::Opening(vec![order]);
                 drop(state);
                 let (links, opening) = (self.clone(), link.clone());
-                let spawned = spawn_small("node-connect", move || links.open(node, &opening));
+                let spawned = spawn_small_stack("node-connect", move || links.open(node, &opening));
                 if spawned.is_err() {
                     self.give_up(&link);
                 }
@@ -135,12 +135,12 @@
             };
             let engine = self.engine.clone();
             let events = move |event| on_event(&engine, node, event);
-            Connection::open(address, config, self.connect_timeout, TapRef::default(), events)
+            Connection::open(address, config, self.connect_timeout, StreamTap::default(), events)
                 .inspect_err(|e| tracing::debug!(node, error = %e, "no connection"))
                 .ok()
         });
         let Some(connection) = opened else { return self.give_up(link) };
-        if self.extension && !connection.speaks_extension() {
+        if self.extension && !connection.extension_negotiated() {
             // Danger: a node that is told no key can't drop a repeat, and the module counts on it that it does.
             tracing::error!(
                 node,
@@ -175,13 +175,13 @@
             // Danger: a host that stood still between deciding and sending would send by a part that is another's now.
             return self.not_sent(order.attempt, Ended::Moot);
         }
-        let read_len = order.media.data_in(order.block_len) as u32;
+        let read_len = order.media.data_in_length(order.block_len) as u32;
         let command = Command {
-            lun: lun_field(order.volume.0 as u16),
+            lun: encode_lun(order.volume.0 as u16),
             cdb: order.media.to_cdb(),
             read_len,
             data: order.data,
-            ext: Some(order.tag),
+            metadata: Some(order.tag),
         };
         let sent = Sent { id: order.attempt, wanted: order.wanted, not_after, read_len: read_len as usize };
         if let Err(sent) = connection.submit(sent, command) {
@@ -200,7 +200,7 @@
         if let Err(crossbeam_channel::TrySendError::Full(message)) = self.engine.try_send(message) {
             let engine = self.engine.clone();
             // Without a thread the attempt's own time-out ends it.
-            let _ = spawn_small("outcome", move || drop(engine.send(message)));
+            let _ = spawn_small_stack("outcome", move || drop(engine.send(message)));
         }
     }
 
@@ -248,7 +248,7 @@
 fn on_event(engine: &Sender<Message>, node: u32, event: ConnectionEvent<Sent>) {
     let tell = |id, ended, report| drop(engine.send(Message::ended(id, ended, report)));
     match event {
-        ConnectionEvent::Done(sent, done) => {
+        ConnectionEvent::Completed(sent, done) => {
             let report = done.report;
             tell(sent.id, verdict(*done, sent.read_len), report);
         }
@@ -258,13 +258,16 @@
         ConnectionEvent::Closed(why, sent, unsent) => {
             tracing::debug!(node, why, lost = sent.len(), "connection over");
             sent.into_iter().for_each(|s| tell(s.id, Ended::Reset, None));
-            unsent.into_iter().filter(Token::is_wanted).for_each(|s| tell(s.id, Ended::ConnectFailed, None));
+            unsent
+                .into_iter()
+                .filter(CommandToken::is_needed)
+                .for_each(|s| tell(s.id, Ended::ConnectFailed, None));
         }
     }
 }
 
 /// What a SCSI status of a node says of an attempt.
-fn verdict(done: CommandDone, read_len: usize) -> Ended {
+fn verdict(done: CommandCompletion, read_len: usize) -> Ended {
     match done.status {
         // Danger: fewer bytes than asked for, with GOOD, would be passed on as a whole answer.
         status::GOOD if done.data.len() == read_len => Ended::Served(Served::Good(done.data)),
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -19,7 +19,7 @@
 use pearfork_fleet::FleetSettings;
 use pearfork_layers::{Key, LayerFault, Layers};
 use pearfork_match::Fields;
-use pearfork_scsi::{Media, MediaOp, Unit, MAX_TRANSFER_BLOCKS};
+use pearfork_scsi::{LogicalUnit, MediaCommand, MediaOp, MAX_TRANSFER_BLOCKS};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -190,7 +190,7 @@
     pub fn fields_of<'a>(
         &'a self,
         volume: &'a Volume,
-        media: &Media,
+        media: &MediaCommand,
         initiator: &'a str,
         now_ms: f64,
     ) -> Fields<'a> {
@@ -208,7 +208,7 @@
             direction,
             lba: media.lba,
             blocks: u64::from(media.blocks),
-            bytes: media.moves(volume.unit.block_len),
+            bytes: media.transfer_length(volume.unit.block_len),
             lun: volume.lun,
             volume: &volume.name,
             plan: &self.plan_names[usize::from(volume.plan)],
@@ -526,7 +526,11 @@
                 name: v.name.clone(),
                 target,
                 lun: v.lun,
-                unit: Unit { blocks: (size / block).max(1), block_len: block as u32, serial: v.name.clone() },
+                unit: LogicalUnit {
+                    blocks: (size / block).max(1),
+                    block_len: block as u32,
+                    serial: v.name.clone(),
+                },
                 extent_blocks: extent / block,
                 shards: v.shards.clone(),
                 plan: plan.unwrap_or(0) as u16,
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -6,7 +6,7 @@
 use pearfork::{NodeEntry, NodeState, Reason};
 use pearfork_fleet::state::{HeldBudgetView, LinkView};
 use pearfork_fleet::FleetView;
-use pearfork_net::http::{Answer, Call, Method};
+use pearfork_net::http::{Method, Request, Response};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -85,50 +85,50 @@
 }
 
 /// The order that a call gives, if it gives one.
-pub(crate) fn order(call: Call<'_>) -> Option<Order> {
+pub(crate) fn order(call: Request<'_>) -> Option<Order> {
     let path = call.path.split('?').next().unwrap_or(call.path);
     (call.method == Method::Post && path == "/drain").then_some(Order::Drain)
 }
 
 /// Answers a call that gives no order; `snapshot` is `None` where the engine did not answer in time.
 pub(crate) fn answer(
-    call: Call<'_>,
+    call: Request<'_>,
     plan: &HostSettings,
     snapshot: Option<Snapshot>,
     sessions: usize,
     draining: bool,
     fleet: Option<&FleetView>,
-) -> Answer {
+) -> Response {
     let path = call.path.split('?').next().unwrap_or(call.path);
     if call.method == Method::Post {
-        return Answer::error(404, "there is /drain to POST to");
+        return Response::error(404, "there is /drain to POST to");
     }
     if path == "/fleet" {
         // Asked even where the engine stands still.
-        return fleet.map_or(Answer::error(404, "this host is in no fleet"), json);
+        return fleet.map_or(Response::error(404, "this host is in no fleet"), json);
     }
-    let Some(snapshot) = snapshot else { return Answer::error(503, "the engine does not answer") };
+    let Some(snapshot) = snapshot else { return Response::error(503, "the engine does not answer") };
     match path {
         "/health" => health(&snapshot, sessions, draining),
-        "/metrics" => Answer::ok("text/plain; version=0.0.4", metrics(plan, &snapshot, sessions, fleet)),
+        "/metrics" => Response::ok("text/plain; version=0.0.4", metrics(plan, &snapshot, sessions, fleet)),
         "/nodes" => json(&nodes(&snapshot)),
         "/volumes" => json(&volumes(plan, &snapshot)),
-        _ => Answer::error(404, "there are /health, /metrics, /nodes, /volumes and /fleet"),
+        _ => Response::error(404, "there are /health, /metrics, /nodes, /volumes and /fleet"),
     }
 }
 
-fn json(value: &impl Serialize) -> Answer {
-    Answer::ok("application/json", serde_json::to_vec_pretty(value).unwrap_or_default())
+fn json(value: &impl Serialize) -> Response {
+    Response::ok("application/json", serde_json::to_vec_pretty(value).unwrap_or_default())
 }
 
-fn health(snapshot: &Snapshot, sessions: usize, draining: bool) -> Answer {
+fn health(snapshot: &Snapshot, sessions: usize, draining: bool) -> Response {
     if draining {
         let open = snapshot.open;
-        Answer::error(503, &format!("draining, {open} commands open, {sessions} sessions"))
+        Response::error(503, &format!("draining, {open} commands open, {sessions} sessions"))
     } else if snapshot.listed.values().any(|n| n.state == NodeState::Ready) {
-        Answer::ok("text/plain; charset=utf-8", "ok\n")
+        Response::ok("text/plain; charset=utf-8", "ok\n")
     } else {
-        Answer::error(503, "no node of the list is ready")
+        Response::error(503, "no node of the list is ready")
     }
 }
 
--- a/crates/host/src/volumes.rs
+++ b/crates/host/src/volumes.rs
@@ -3,7 +3,7 @@
 //! An extent is a fixed range of a volume's blocks; its shard, told by the settings, names the node that holds
 //! it. A command that crosses extents is cut at their borders.
 
-use pearfork_scsi::{Media, MediaOp, Unit};
+use pearfork_scsi::{LogicalUnit, MediaCommand, MediaOp};
 
 /// Position of a volume in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
     /// Its unit number there.
     pub lun: u16,
     /// Size and identity toward clients.
-    pub unit: Unit,
+    pub unit: LogicalUnit,
     /// Blocks in an extent.
     pub extent_blocks: u64,
     /// Shards over which extents are dealt out in turn.
@@ -42,7 +42,7 @@
     /// The shard that holds it.
     pub shard: u16,
     /// What is done there.
-    pub media: Media,
+    pub media: MediaCommand,
     /// Where its data begins within the command's.
     pub offset: usize,
 }
@@ -63,7 +63,7 @@
     }
 
     /// Cuts a command whose blocks exist into its parts, in order; none where it moves no blocks.
-    pub fn parts(&self, media: Media) -> Vec<Part> {
+    pub fn parts(&self, media: MediaCommand) -> Vec<Part> {
         let end = media.lba + u64::from(media.blocks);
         if media.op == MediaOp::Flush {
             return self.flushes(media, end);
@@ -73,7 +73,7 @@
             let extent = lba / self.extent_blocks;
             let upto = end.min((extent + 1) * self.extent_blocks);
             let offset = (lba - media.lba) as usize * self.unit.block_len as usize;
-            let media = Media { lba, blocks: (upto - lba) as u32, ..media };
+            let media = MediaCommand { lba, blocks: (upto - lba) as u32, ..media };
             out.push(Part { extent: self.key(extent), shard: self.shard_of(extent), media, offset });
             lba = upto;
         }
@@ -81,7 +81,7 @@
     }
 
     /// A flush goes once to each shard that holds a block of the range, with the whole range.
-    fn flushes(&self, media: Media, end: u64) -> Vec<Part> {
+    fn flushes(&self, media: MediaCommand, end: u64) -> Vec<Part> {
         if media.blocks == 0 {
             return Vec::new();
         }
@@ -110,7 +110,7 @@
             name: "v".to_owned(),
             target: "t".to_owned(),
             lun: 0,
-            unit: Unit { blocks, block_len: 512, serial: "v".to_owned() },
+            unit: LogicalUnit { blocks, block_len: 512, serial: "v".to_owned() },
             extent_blocks,
             shards,
             plan: 0,
@@ -126,7 +126,7 @@
             lba in 0u64..5000, blocks in 0u32..2048, extent in 1u64..700, shards in 1u16..9,
         ) {
             let v = volume(10_000, extent, (0..shards).collect());
-            let media = Media { op: MediaOp::Read, lba, blocks, fua: false, group: 0 };
+            let media = MediaCommand { op: MediaOp::Read, lba, blocks, fua: false, group: 0 };
             let mut at = lba;
             for p in v.parts(media) {
                 prop_assert_eq!(p.media.lba, at);
@@ -143,7 +143,7 @@
         #[test]
         fn a_flush_reaches_each_shard_of_its_range_once(lba in 0u64..5000, blocks in 1u32..5000, extent in 1u64..700) {
             let v = volume(10_000, extent, vec![4, 1, 4, 7]);
-            let media = Media { op: MediaOp::Flush, lba, blocks, fua: false, group: 0 };
+            let media = MediaCommand { op: MediaOp::Flush, lba, blocks, fua: false, group: 0 };
             let mut got: Vec<u16> = v.parts(media).iter().map(|p| p.shard).collect();
             got.sort_unstable();
             let end = lba + u64::from(blocks) - 1;
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -6,7 +6,7 @@
 use pearfork_host::settings::HostSettings;
 use pearfork_host::volumes::VolumeId;
 use pearfork_iscsi::Payload;
-use pearfork_scsi::{Media, MediaOp};
+use pearfork_scsi::{MediaCommand, MediaOp};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -42,8 +42,8 @@
     fn submit_at(&mut self, arrived_ms: f64, op: MediaOp, lba: u64, blocks: u32) -> (Origin, Vec<Effect>) {
         let origin = Origin { session: 1, tag: self.next };
         self.next += 1;
-        let media = Media { op, lba, blocks, fua: false, group: 0 };
-        let data: Payload = vec![5; media.data_out(512) as usize].into();
+        let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
+        let data: Payload = vec![5; media.data_out_length(512) as usize].into();
         let submission = Submission {
             origin,
             session_handle: 3,
--- a/crates/iscsi/src/bhs.rs
+++ b/crates/iscsi/src/bhs.rs
@@ -6,7 +6,7 @@
 /// Length of the basic header segment.
 pub const BHS_LEN: usize = 48;
 /// The reserved tag: no task, or no transfer (RFC 7143, section 11.2.1.8).
-pub const NO_TAG: u32 = 0xffff_ffff;
+pub const RESERVED_TAG: u32 = 0xffff_ffff;
 
 /// Opcodes (RFC 7143, section 11.2.1.2).
 #[allow(missing_docs)]
--- a/crates/iscsi/src/framer.rs
+++ b/crates/iscsi/src/framer.rs
@@ -127,7 +127,7 @@
         const ZEROES: [u8; 4] = [0; 4];
         let padding = &ZEROES[..data_len.next_multiple_of(4) - data_len];
         let mut crc = 0;
-        for piece in pdu.data.pieces() {
+        for piece in pdu.data.chunks() {
             if self.data_digest {
                 crc = crc32c::crc32c_append(crc, piece);
             }
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -1,9 +1,9 @@
 //! The initiator's end of a session, toward storage nodes and for clients of tests and tools.
 
-use crate::bhs::{opcode, sn_less, Pdu, NO_TAG};
-use crate::ext::{self, Report, Tag};
+use crate::bhs::{opcode, sn_less, Pdu, RESERVED_TAG};
 use crate::framer::{Decoder, Encoder, FrameError};
 use crate::login::{login_flags, LoginStatus, Params, STAGES};
+use crate::node_extension::{self, CommandMetadata, LoadReport};
 use crate::payload::Payload;
 use crate::text::{self, put, TextError};
 use bytes::Bytes;
@@ -36,12 +36,12 @@
     /// Data for the target; commands go one way only.
     pub data: Payload,
     /// The project's extension; sent only where agreed on.
-    pub ext: Option<Tag>,
+    pub metadata: Option<CommandMetadata>,
 }
 
 /// How a command ended.
 #[derive(Clone, Debug)]
-pub struct CommandDone {
+pub struct CommandCompletion {
     /// Its task tag.
     pub itt: u32,
     /// SCSI status.
@@ -53,7 +53,7 @@
     /// What was read.
     pub data: Payload,
     /// What the project's extension reports.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// Bytes fewer (negative) or more than expected.
     pub residual: i64,
 }
@@ -64,7 +64,7 @@
     /// The full feature phase began; the session's handle.
     LoggedIn(u16),
     /// A command ended.
-    Done(Box<CommandDone>),
+    Completed(Box<CommandCompletion>),
     /// An abort was answered: tag of the aborted task and the response code.
     Aborted(u32, u8),
     /// Answer to a Text request.
@@ -178,7 +178,7 @@
         put(&mut out, "DefaultTime2Retain", "0");
         put(&mut out, "iSCSIProtocolLevel", "2");
         if self.config.extension {
-            put(&mut out, ext::LOGIN_KEY, "Yes");
+            put(&mut out, node_extension::LOGIN_KEY, "Yes");
         }
         let mut pdu = Pdu::new(opcode::LOGIN | 0x40, 0);
         pdu.bhs[1] = login_flags(STAGES.1, STAGES.2);
@@ -237,7 +237,7 @@
         pdu.set_u32(24, self.cmd_sn);
         pdu.set_u32(28, self.exp_stat_sn);
         pdu.bhs[32..48].copy_from_slice(&command.cdb);
-        if let (Some(tag), true) = (command.ext, self.params.extension) {
+        if let (Some(tag), true) = (command.metadata, self.params.extension) {
             pdu.ahs = tag.to_ahs();
         }
         if self.params.immediate_data {
@@ -255,7 +255,7 @@
     fn tag(&mut self) -> u32 {
         loop {
             let itt = self.next_itt;
-            self.next_itt = if itt >= NO_TAG - 1 { 1 } else { itt + 1 };
+            self.next_itt = if itt >= RESERVED_TAG - 1 { 1 } else { itt + 1 };
             if !self.tasks.contains_key(&itt) && !self.aborts.contains_key(&itt) {
                 return itt;
             }
@@ -278,12 +278,12 @@
     }
 
     /// Sends any task management function; the response comes as [`InitiatorEvent::Aborted`] with tag 0.
-    pub fn manage(&mut self, function: u8, lun: u64) {
+    pub fn send_task_management(&mut self, function: u8, lun: u64) {
         let tag = self.tag();
         let mut pdu = Pdu::new(opcode::TASK_MANAGEMENT | 0x40, tag);
         pdu.bhs[1] = 0x80 | function & 0x7f;
         pdu.set_lun(lun);
-        pdu.set_u32(20, NO_TAG);
+        pdu.set_u32(20, RESERVED_TAG);
         pdu.set_u32(24, self.cmd_sn);
         pdu.set_u32(28, self.exp_stat_sn);
         self.aborts.insert(tag, 0);
@@ -294,7 +294,7 @@
     pub fn send_targets(&mut self) {
         let tag = self.tag();
         let mut pdu = Pdu::new(opcode::TEXT | 0x40, tag);
-        pdu.set_u32(20, NO_TAG);
+        pdu.set_u32(20, RESERVED_TAG);
         pdu.set_u32(24, self.cmd_sn);
         pdu.set_u32(28, self.exp_stat_sn);
         let mut out = Vec::new();
@@ -327,7 +327,7 @@
         let has_status = match pdu.opcode() {
             opcode::R2T => false,
             opcode::DATA_IN => pdu.bhs[1] & 1 != 0,
-            opcode::NOP_IN => pdu.itt() != NO_TAG,
+            opcode::NOP_IN => pdu.itt() != RESERVED_TAG,
             _ => true,
         };
         if has_status {
@@ -344,8 +344,8 @@
             (opcode::SCSI_RESPONSE, _) => self.on_response(&pdu, events),
             (opcode::R2T, _) => self.on_r2t(&pdu),
             (opcode::NOP_IN, _) => {
-                if pdu.u32(20) != NO_TAG {
-                    let mut pong = Pdu::new(opcode::NOP_OUT | 0x40, NO_TAG);
+                if pdu.u32(20) != RESERVED_TAG {
+                    let mut pong = Pdu::new(opcode::NOP_OUT | 0x40, RESERVED_TAG);
                     pong.set_u32(20, pdu.u32(20));
                     pong.set_lun(pdu.lun());
                     pong.set_u32(24, self.cmd_sn);
@@ -391,7 +391,7 @@
                 ("InitialR2T", _) => p.initial_r2t = value != "No",
                 ("ImmediateData", _) => p.immediate_data = value == "Yes",
                 ("iSCSIProtocolLevel", Ok(n)) => p.protocol_level = n as u32,
-                (ext::LOGIN_KEY, _) => p.extension = value == "Yes" && self.config.extension,
+                (node_extension::LOGIN_KEY, _) => p.extension = value == "Yes" && self.config.extension,
                 _ => {}
             }
         }
@@ -435,12 +435,18 @@
             0 | 1 => Bytes::new(),
             n => data.slice(2..n.min(2 + usize::from(u16::from_be_bytes([data[0], data[1]])))),
         };
-        let report = if self.params.extension { Report::from_ahs(&pdu.ahs) } else { None };
+        let report = if self.params.extension { LoadReport::from_ahs(&pdu.ahs) } else { None };
         self.finish(pdu, sense, report, events);
         Ok(())
     }
 
-    fn finish(&mut self, pdu: &Pdu, sense: Bytes, report: Option<Report>, events: &mut Vec<InitiatorEvent>) {
+    fn finish(
+        &mut self,
+        pdu: &Pdu,
+        sense: Bytes,
+        report: Option<LoadReport>,
+        events: &mut Vec<InitiatorEvent>,
+    ) {
         let Some(task) = self.tasks.remove(&pdu.itt()) else { return };
         let residual = match pdu.bhs[1] & 0x06 {
             0x02 => -i64::from(pdu.u32(44)),
@@ -451,7 +457,7 @@
         // A response code other than 0 says that the command did not complete at the target (section 11.4.3).
         let status = if response && pdu.bhs[2] != 0 { 0x02 } else { pdu.bhs[3] };
         let qualifier = if response && self.params.protocol_level >= 2 { pdu.u16(8) } else { 0 };
-        events.push(InitiatorEvent::Done(Box::new(CommandDone {
+        events.push(InitiatorEvent::Completed(Box::new(CommandCompletion {
             itt: pdu.itt(),
             status,
             qualifier,
@@ -489,7 +495,7 @@
         if self.text_in.len() + pdu.data.len() > 1 << 20 {
             return Err(TextError::TooLong(1 << 20).into());
         }
-        pdu.data.pieces().iter().for_each(|p| self.text_in.extend_from_slice(p));
+        pdu.data.chunks().iter().for_each(|p| self.text_in.extend_from_slice(p));
         if pdu.bhs[1] & 0x40 != 0 {
             let mut more = Pdu::new(opcode::TEXT | 0x40, pdu.itt());
             more.set_u32(20, pdu.u32(20));
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -1,7 +1,7 @@
 //! Login: the phases and the negotiation of keys (RFC 7143, sections 6.2, 6.3 and 13), the target's side.
 
 use crate::bhs::{opcode, Pdu};
-use crate::ext;
+use crate::node_extension;
 use crate::text::{self, put, TextError, MAX_TEXT};
 
 /// What both sides agreed on; the standard's defaults before login.
@@ -25,7 +25,7 @@
     pub immediate_data: bool,
     /// Level of RFC 7144: from 2 on a SCSI Response carries the status qualifier.
     pub protocol_level: u32,
-    /// Whether [`crate::ext`] is spoken.
+    /// Whether [`crate::node_extension`] is spoken.
     pub extension: bool,
 }
 
@@ -88,16 +88,16 @@
 }
 
 /// Who may log in where; asked during login and for SendTargets.
-pub trait Access: Send + Sync {
+pub trait AccessControl: Send + Sync {
     /// The targets that this initiator may see, with their addresses (`host:port`).
     fn targets(&self, initiator: &str) -> Vec<(String, String)>;
     /// Whether the initiator may log in to the target; the login status otherwise.
     ///
     /// # Errors
     /// The status that ends the login.
-    fn admit(&self, initiator: &str, target: &str) -> Result<(), LoginStatus>;
+    fn authorize_login(&self, initiator: &str, target: &str) -> Result<(), LoginStatus>;
     /// Whether the extension toward nodes is spoken here.
-    fn extension(&self) -> bool {
+    fn extension_enabled(&self) -> bool {
         false
     }
 }
@@ -141,7 +141,7 @@
 
 impl Login {
     /// Takes a login request. StatSN and the window are filled in by the session.
-    pub(crate) fn step(&mut self, pdu: &Pdu, tsih: u16, access: &dyn Access) -> LoginStep {
+    pub(crate) fn step(&mut self, pdu: &Pdu, tsih: u16, access: &dyn AccessControl) -> LoginStep {
         match self.try_step(pdu, tsih, access) {
             Ok(step) => step,
             Err((status, why)) => {
@@ -165,7 +165,7 @@
         &mut self,
         pdu: &Pdu,
         tsih: u16,
-        access: &dyn Access,
+        access: &dyn AccessControl,
     ) -> Result<LoginStep, (LoginStatus, String)> {
         let fail = |status, why: &str| Err((status, why.to_owned()));
         let (transit, more) = (pdu.is_final(), pdu.bhs[1] & 0x40 != 0);
@@ -193,7 +193,7 @@
         if self.text_total > MAX_TEXT {
             return fail(LoginStatus::INITIATOR_ERROR, &TextError::TooLong(MAX_TEXT).to_string());
         }
-        pdu.data.pieces().iter().for_each(|p| self.text.extend_from_slice(p));
+        pdu.data.chunks().iter().for_each(|p| self.text.extend_from_slice(p));
         let mut answer = self.answer(pdu);
         if more {
             return Ok(LoginStep::Going(answer));
@@ -227,7 +227,11 @@
     }
 
     /// Who it is and where to, once the first whole text has come.
-    fn identify(&mut self, access: &dyn Access, out: &mut Vec<u8>) -> Result<(), (LoginStatus, String)> {
+    fn identify(
+        &mut self,
+        access: &dyn AccessControl,
+        out: &mut Vec<u8>,
+    ) -> Result<(), (LoginStatus, String)> {
         if self.keys_seen.iter().any(|k| k == "\0identified") {
             return Ok(());
         }
@@ -240,7 +244,9 @@
             let Some(target) = self.target.as_deref() else {
                 return Err((LoginStatus::MISSING_PARAMETER, "no TargetName".to_owned()));
             };
-            access.admit(initiator, target).map_err(|s| (s, format!("{initiator:.223} at {target:.223}")))?;
+            access
+                .authorize_login(initiator, target)
+                .map_err(|s| (s, format!("{initiator:.223} at {target:.223}")))?;
             put(out, "TargetPortalGroupTag", PORTAL_GROUP);
         }
         Ok(())
@@ -250,7 +256,7 @@
         &mut self,
         key: &str,
         value: &str,
-        access: &dyn Access,
+        access: &dyn AccessControl,
         out: &mut Vec<u8>,
     ) -> Result<(), (LoginStatus, String)> {
         let p = &mut self.params;
@@ -355,7 +361,7 @@
             | "TaskReporting"
             | "IFMarkInt"
             | "OFMarkInt" => "Reject".to_owned(),
-            ext::LOGIN_KEY if access.extension() => {
+            node_extension::LOGIN_KEY if access.extension_enabled() => {
                 p.extension = value == "Yes";
                 if p.extension { "Yes" } else { "No" }.to_owned()
             }
--- a/crates/iscsi/src/payload.rs
+++ b/crates/iscsi/src/payload.rs
@@ -1,11 +1,11 @@
-//! Data of a command as the pieces it came in: parts of it are taken without a copy.
+//! Data of a command as the chunks it came in: parts of it are taken without a copy.
 
 use bytes::Bytes;
 
-/// A rope of byte pieces.
+/// A rope of byte chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Payload {
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
     len: usize,
 }
 
@@ -19,13 +19,13 @@
     pub fn push(&mut self, piece: Bytes) {
         if !piece.is_empty() {
             self.len += piece.len();
-            self.pieces.push(piece);
+            self.chunks.push(piece);
         }
     }
 
-    /// Adds all pieces of another one at the end.
+    /// Adds all chunks of another one at the end.
     pub fn append(&mut self, other: Payload) {
-        other.pieces.into_iter().for_each(|p| self.push(p));
+        other.chunks.into_iter().for_each(|p| self.push(p));
     }
 
     /// Bytes in all.
@@ -38,16 +38,16 @@
         self.len == 0
     }
 
-    /// The pieces in order.
-    pub fn pieces(&self) -> &[Bytes] {
-        &self.pieces
+    /// The chunks in order.
+    pub fn chunks(&self) -> &[Bytes] {
+        &self.chunks
     }
 
     /// The bytes from `from` on, `len` at most; what lies past the end is left out.
     pub fn slice(&self, from: usize, len: usize) -> Payload {
         let (mut skip, mut left) = (from, len);
         let mut out = Payload::new();
-        for piece in &self.pieces {
+        for piece in &self.chunks {
             if left == 0 {
                 break;
             }
@@ -63,9 +63,9 @@
         out
     }
 
-    /// One run of bytes; a copy where there are several pieces.
+    /// One run of bytes; a copy where there are several chunks.
     pub fn to_bytes(&self) -> Bytes {
-        match self.pieces.as_slice() {
+        match self.chunks.as_slice() {
             [] => Bytes::new(),
             [one] => one.clone(),
             many => Bytes::from(many.iter().flat_map(|p| p.iter().copied()).collect::<Vec<u8>>()),
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -2,10 +2,10 @@
 
 mod services;
 
-use crate::bhs::{opcode, sn_less, Pdu, BHS_LEN, NO_TAG};
-use crate::ext::{Report, Tag};
+use crate::bhs::{opcode, sn_less, Pdu, BHS_LEN, RESERVED_TAG};
 use crate::framer::{Decoder, Encoder, FrameError};
-use crate::login::{Access, Login, LoginStatus, LoginStep, Params};
+use crate::login::{AccessControl, Login, LoginStatus, LoginStep, Params};
+use crate::node_extension::{CommandMetadata, LoadReport};
 use crate::payload::Payload;
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Commands in work at once; the command window never promises more.
-    pub commands: u32,
+    pub max_commands: u32,
     /// Most bytes that one command may carry either way.
-    pub transfer: usize,
+    pub max_transfer_bytes: usize,
 }
 
 /// Initiator task tag of a command in work.
@@ -36,15 +36,15 @@
     /// The first 16 bytes of the CDB.
     pub cdb: [u8; 16],
     /// Expected data transfer length, bytes.
-    pub expected: u32,
+    pub expected_length: u32,
     /// Whether the initiator expects to receive.
     pub reads: bool,
     /// Whether the initiator sends data.
     pub writes: bool,
-    /// What it sent. Shorter than `expected` only where that passes [`Limits::transfer`].
+    /// What it sent. Shorter than `expected` only where that passes [`Limits::max_transfer_bytes`].
     pub data: Payload,
     /// What the project's extension says, where agreed on.
-    pub ext: Option<Tag>,
+    pub metadata: Option<CommandMetadata>,
 }
 
 /// A command's end.
@@ -61,7 +61,7 @@
     /// Bytes that the command would have moved by its CDB; residuals are counted against it.
     pub full_length: u64,
     /// What the project's extension reports, where agreed on.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// Task management functions (RFC 7143, section 11.5.1).
@@ -96,7 +96,7 @@
     /// A task was aborted: its answer is no longer wanted.
     Aborted(TaskTag),
     /// A function was carried out in this session and may concern others.
-    Managed {
+    TaskManagement {
         /// Which.
         function: TmfFunction,
         /// The unit.
@@ -128,7 +128,7 @@
 
 /// The target's end of one connection.
 pub struct Target {
-    access: Arc<dyn Access>,
+    access: Arc<dyn AccessControl>,
     limits: Limits,
     tsih: u16,
     phase: Phase,
@@ -162,7 +162,7 @@
 
 impl Target {
     /// A connection just accepted. `tsih` names the session that it may become and is not 0.
-    pub fn new(access: Arc<dyn Access>, tsih: u16, limits: Limits) -> Self {
+    pub fn new(access: Arc<dyn AccessControl>, tsih: u16, limits: Limits) -> Self {
         let params = Params::default();
         Target {
             access,
@@ -215,7 +215,7 @@
     }
 
     /// Commands in work.
-    pub fn tasks(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         self.tasks.len()
     }
 
@@ -271,7 +271,7 @@
     }
 
     fn after_login_step(&mut self, step: LoginStep, events: &mut Vec<TargetEvent>) {
-        self.max_cmd_sn = self.exp_cmd_sn.wrapping_add(self.limits.commands).wrapping_sub(1);
+        self.max_cmd_sn = self.exp_cmd_sn.wrapping_add(self.limits.max_commands).wrapping_sub(1);
         match step {
             LoginStep::Going(answer) => self.push_status(answer),
             LoginStep::Failed(answer, why) => {
@@ -318,7 +318,7 @@
 
     /// Sends a PDU with the window. MaxCmdSN never falls (RFC 7143, section 4.2.2.1).
     fn push(&mut self, mut pdu: Pdu) {
-        let free = self.limits.commands.saturating_sub(self.tasks.len() as u32);
+        let free = self.limits.max_commands.saturating_sub(self.tasks.len() as u32);
         let max = self.exp_cmd_sn.wrapping_add(free).wrapping_sub(1);
         if sn_less(self.max_cmd_sn, max) {
             self.max_cmd_sn = max;
@@ -329,7 +329,7 @@
     }
 
     fn reject(&mut self, reason: u8, bhs: &[u8; BHS_LEN]) {
-        let mut pdu = Pdu::new(opcode::REJECT, NO_TAG);
+        let mut pdu = Pdu::new(opcode::REJECT, RESERVED_TAG);
         pdu.bhs[2] = reason;
         pdu.data = Bytes::copy_from_slice(bhs).into();
         self.push_status(pdu);
@@ -365,13 +365,13 @@
         }
         let (reads, writes) = (pdu.bhs[1] & 0x40 != 0, pdu.bhs[1] & 0x20 != 0);
         let itt = pdu.itt();
-        if itt == NO_TAG || (reads && writes) {
+        if itt == RESERVED_TAG || (reads && writes) {
             return self.reject(reason::INVALID_FIELD, &pdu.bhs);
         }
         if self.tasks.contains_key(&itt) {
             return self.reject(reason::TASK_IN_PROGRESS, &pdu.bhs);
         }
-        if self.tasks.len() >= self.limits.commands as usize + IMMEDIATE_EXTRA {
+        if self.tasks.len() >= self.limits.max_commands as usize + IMMEDIATE_EXTRA {
             return self.reject(reason::TOO_MANY_IMMEDIATE, &pdu.bhs);
         }
         let expected = pdu.u32(20);
@@ -389,23 +389,23 @@
         }
         let mut cdb = [0; 16];
         cdb.copy_from_slice(&pdu.bhs[32..48]);
-        let ext = if self.params.extension { Tag::from_ahs(&pdu.ahs) } else { None };
+        let metadata = if self.params.extension { CommandMetadata::from_ahs(&pdu.ahs) } else { None };
         let command = Box::new(ScsiCommand {
             tag: TaskTag(itt),
             cmd_sn: pdu.u32(24),
             lun: pdu.lun(),
             cdb,
-            expected,
+            expected_length: expected,
             reads,
             writes,
             data: pdu.data,
-            ext,
+            metadata,
         });
         // A transfer that can't be taken is not asked for; the command is answered without its data.
-        let wanted = if whole > self.limits.transfer { command.data.len() } else { whole };
+        let wanted = if whole > self.limits.max_transfer_bytes { command.data.len() } else { whole };
         let mut task =
             Task { command, wanted, unsolicited, r2t: None, r2t_sn: 0, data_sn: 0, running: false };
-        if whole > self.limits.transfer && unsolicited {
+        if whole > self.limits.max_transfer_bytes && unsolicited {
             task.wanted = first_burst;
         }
         self.tasks.insert(itt, task);
@@ -429,7 +429,7 @@
             return;
         }
         let transfer = self.next_transfer;
-        self.next_transfer = if transfer >= NO_TAG - 1 { 1 } else { transfer + 1 };
+        self.next_transfer = if transfer >= RESERVED_TAG - 1 { 1 } else { transfer + 1 };
         let end = task.wanted.min(have + self.params.max_burst);
         task.r2t = Some((transfer, end));
         task.data_sn = 0;
@@ -455,7 +455,7 @@
         let have = task.command.data.len();
         let end = match task.r2t {
             Some((tag, end)) if tag == transfer => end,
-            None if transfer == NO_TAG && task.unsolicited => self.params.first_burst.min(task.wanted),
+            None if transfer == RESERVED_TAG && task.unsolicited => self.params.first_burst.min(task.wanted),
             _ => {
                 self.reject(reason::PROTOCOL, &pdu.bhs);
                 return self.close(format!("Data-Out for transfer {transfer:#x}, which is not open"), events);
@@ -479,7 +479,7 @@
         task.data_sn += 1;
         task.command.data.append(pdu.data.clone());
         if pdu.is_final() {
-            if task.unsolicited && task.command.expected as usize > self.limits.transfer {
+            if task.unsolicited && task.command.expected_length as usize > self.limits.max_transfer_bytes {
                 task.wanted = task.command.data.len();
             }
             (task.unsolicited, task.r2t) = (false, None);
@@ -491,7 +491,7 @@
     pub fn respond(&mut self, tag: TaskTag, response: Response) {
         let Some(task) = self.tasks.remove(&tag.0) else { return };
         let c = &task.command;
-        let expected = u64::from(c.expected);
+        let expected = u64::from(c.expected_length);
         let told = if c.reads || c.writes { expected } else { 0 };
         let sent = if c.reads { (response.data.len() as u64).min(expected) } else { 0 };
         let mut flags = 0x80;
@@ -545,7 +545,7 @@
             if burst == self.params.max_burst {
                 burst = 0;
             }
-            pdu.set_u32(20, NO_TAG);
+            pdu.set_u32(20, RESERVED_TAG);
             pdu.set_u32(36, sn);
             pdu.set_u32(40, at as u32);
             pdu.data = data.slice(at, n);
--- a/crates/iscsi/src/target/services.rs
+++ b/crates/iscsi/src/target/services.rs
@@ -1,7 +1,7 @@
 //! What a session answers beside commands: task management, pings, text, logout.
 
 use super::{reason, Phase, Target, TargetEvent, TaskTag, TmfFunction};
-use crate::bhs::{opcode, Pdu, NO_TAG};
+use crate::bhs::{opcode, Pdu, RESERVED_TAG};
 use crate::text::{self, put, MAX_TEXT};
 use bytes::Bytes;
 
@@ -50,7 +50,7 @@
         response.bhs[2] = answer;
         self.push_status(response);
         if let Some(function) = function.filter(|f| *f != TmfFunction::AbortTask) {
-            events.push(TargetEvent::Managed { function, lun });
+            events.push(TargetEvent::TaskManagement { function, lun });
         }
         if pdu.bhs[1] & 0x7f == 7 {
             self.close("target cold reset".to_owned(), events);
@@ -58,11 +58,11 @@
     }
 
     pub(super) fn on_nop(&mut self, pdu: Pdu, events: &mut Vec<TargetEvent>) {
-        if !self.in_order(&pdu, events) || pdu.itt() == NO_TAG {
+        if !self.in_order(&pdu, events) || pdu.itt() == RESERVED_TAG {
             return;
         }
         let mut pong = Pdu::new(opcode::NOP_IN, pdu.itt());
-        pong.set_u32(20, NO_TAG);
+        pong.set_u32(20, RESERVED_TAG);
         pong.set_lun(pdu.lun());
         pong.data = pdu.data.slice(0, self.params.peer_max_data);
         self.push_status(pong);
@@ -70,8 +70,8 @@
 
     /// Asks the initiator for a sign of life.
     pub fn ping(&mut self) {
-        let mut pdu = Pdu::new(opcode::NOP_IN, NO_TAG);
-        pdu.set_u32(20, NO_TAG - 1);
+        let mut pdu = Pdu::new(opcode::NOP_IN, RESERVED_TAG);
+        pdu.set_u32(20, RESERVED_TAG - 1);
         pdu.set_u32(24, self.stat_sn);
         self.push(pdu);
     }
@@ -79,7 +79,7 @@
     /// Asks the initiator to log out within so many seconds (Async Message, RFC 7143, section 11.9).
     pub fn request_logout(&mut self, within_s: u16) {
         if matches!(self.phase, Phase::Full) {
-            let mut pdu = Pdu::new(opcode::ASYNC, NO_TAG);
+            let mut pdu = Pdu::new(opcode::ASYNC, RESERVED_TAG);
             pdu.bhs[36] = 1;
             pdu.set_u16(42, within_s);
             self.push_status(pdu);
@@ -95,12 +95,12 @@
             self.reject(reason::PROTOCOL, &pdu.bhs);
             return self.close(text::TextError::TooLong(MAX_TEXT).to_string(), events);
         }
-        let asks_for_rest = pdu.u32(20) != NO_TAG && pdu.data.is_empty();
+        let asks_for_rest = pdu.u32(20) != RESERVED_TAG && pdu.data.is_empty();
         if !asks_for_rest {
-            pdu.data.pieces().iter().for_each(|p| self.text_in.extend_from_slice(p));
+            pdu.data.chunks().iter().for_each(|p| self.text_in.extend_from_slice(p));
         }
         let mut answer = Pdu::new(opcode::TEXT_RESPONSE, pdu.itt());
-        answer.set_u32(20, NO_TAG);
+        answer.set_u32(20, RESERVED_TAG);
         if pdu.bhs[1] & 0x40 != 0 {
             answer.bhs[1] = 0;
             answer.set_u32(20, 1);
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -7,7 +7,7 @@
     extension: bool,
 }
 
-impl Access for Door {
+impl AccessControl for Door {
     fn targets(&self, initiator: &str) -> Vec<(String, String)> {
         // Enough names that the list does not fit in one PDU of the default length.
         let all =
@@ -19,7 +19,7 @@
         }
     }
 
-    fn admit(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
+    fn authorize_login(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
         match (initiator.ends_with("nobody"), target) {
             (true, _) => Err(LoginStatus::FORBIDDEN),
             (_, "iqn.2026-12.org.pearfork:disk000") => Ok(()),
@@ -27,7 +27,7 @@
         }
     }
 
-    fn extension(&self) -> bool {
+    fn extension_enabled(&self) -> bool {
         self.extension
     }
 }
@@ -77,11 +77,11 @@
             .collect()
     }
 
-    fn done(&mut self) -> Vec<CommandDone> {
+    fn done(&mut self) -> Vec<CommandCompletion> {
         let events = std::mem::take(&mut self.at_initiator);
         events
             .into_iter()
-            .filter_map(|e| if let InitiatorEvent::Done(d) = e { Some(*d) } else { None })
+            .filter_map(|e| if let InitiatorEvent::Completed(d) = e { Some(*d) } else { None })
             .collect()
     }
 
@@ -94,7 +94,7 @@
 }
 
 fn limits() -> Limits {
-    Limits { commands: 4, transfer: 4 << 20 }
+    Limits { max_commands: 4, max_transfer_bytes: 4 << 20 }
 }
 
 fn config(target: &str, digests: bool, extension: bool) -> InitiatorConfig {
@@ -185,21 +185,21 @@
     p.target.respond(tag, Response { data: pattern(8), full_length: 8, ..Default::default() });
     p.initiator.abort(itt);
     p.run().unwrap();
-    assert!(matches!(&p.at_initiator[..], [InitiatorEvent::Done(_), InitiatorEvent::Aborted(_, 1)]));
+    assert!(matches!(&p.at_initiator[..], [InitiatorEvent::Completed(_), InitiatorEvent::Aborted(_, 1)]));
 }
 
 #[test]
 fn the_extension_is_spoken_only_where_both_know_it() {
-    let tag = ext::Tag { volume: 3, milli_units: 1000, ..Default::default() };
-    let report = ext::Report { queue: 5, ..Default::default() };
+    let tag = node_extension::CommandMetadata { volume: 3, milli_units: 1000, ..Default::default() };
+    let report = node_extension::LoadReport { queued: 5, ..Default::default() };
     for (ours, theirs) in [(true, true), (true, false), (false, true)] {
         let mut p = Pair::with(config(DISK, false, ours), theirs, limits());
         p.run().unwrap();
-        p.initiator.submit(Command { read_len: 8, ext: Some(tag), ..Default::default() }).unwrap();
+        p.initiator.submit(Command { read_len: 8, metadata: Some(tag), ..Default::default() }).unwrap();
         p.run().unwrap();
         let c = p.commands().pop().unwrap();
         let both = ours && theirs;
-        assert_eq!(c.ext, both.then_some(tag));
+        assert_eq!(c.metadata, both.then_some(tag));
         let report = both.then_some(report);
         p.target.respond(c.tag, Response { data: pattern(8), full_length: 8, report, ..Default::default() });
         p.run().unwrap();
@@ -333,7 +333,10 @@
     };
     let cases: Vec<(&str, Vec<Vec<u8>>)> = vec![
         ("immediate data beyond", vec![start(), write(0x80, 2048, &[1; 516])]),
-        ("past the end", vec![start(), write(0, 2048, &[1; 256]), data_out(0x80, NO_TAG, 0, 256, &[1; 260])]),
+        (
+            "past the end",
+            vec![start(), write(0, 2048, &[1; 256]), data_out(0x80, RESERVED_TAG, 0, 256, &[1; 260])],
+        ),
         ("not open", vec![start(), write(0x80, 2048, &[1; 512]), data_out(0x80, 77, 0, 512, &[1; 16])]),
         ("offset", vec![start(), write(0x80, 2048, &[1; 512]), data_out(0, 1, 0, 0, &[1; 16])]),
         ("DataSN", vec![start(), write(0x80, 2048, &[1; 512]), data_out(0, 1, 4, 512, &[1; 16])]),
@@ -402,11 +405,11 @@
                 t.process(&mut events);
                 for e in events.drain(..) {
                     if let (TargetEvent::Command(c), true) = (e, answer) {
-                        prop_assert!(c.data.len() <= limits().transfer);
+                        prop_assert!(c.data.len() <= limits().max_transfer_bytes);
                         t.respond(c.tag, Response { data: pattern(700), full_length: 700, ..Default::default() });
                     }
                 }
-                prop_assert!(t.tasks() <= 4 + 8);
+                prop_assert!(t.task_count() <= 4 + 8);
                 t.take_output();
             }
         }
--- a/crates/load/src/session.rs
+++ b/crates/load/src/session.rs
@@ -5,9 +5,9 @@
 use crate::shape::{Ask, Deck, Kind, Shape, ShapeError};
 use crate::stamp::{self, Number};
 use crate::url::UnitUrl;
-use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
-use pearfork_net::{ConnectError, Connection, ConnectionEvent, TapRef, Token};
-use pearfork_scsi::{lun_field, status, Media, MediaOp};
+use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
+use pearfork_net::{CommandToken, ConnectError, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{encode_lun, status, MediaCommand, MediaOp};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -97,7 +97,7 @@
     Ask { ask: Ask, number: Number, due: Instant },
 }
 
-impl Token for Sent {}
+impl CommandToken for Sent {}
 
 /// How long a connection with its login may take, and how long answers are waited for at the end.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -125,7 +125,7 @@
             extension: false,
         };
         let tell = move |e| drop(to.send(e));
-        let connection = Connection::open(spec.unit.address, config, PATIENCE, TapRef::default(), tell)?;
+        let connection = Connection::open(spec.unit.address, config, PATIENCE, StreamTap::default(), tell)?;
         Ok(Link { connection, events })
     }
 
@@ -134,10 +134,12 @@
         let failed = |what: &str| SessionError::Capacity(unit.clone(), what.to_owned());
         let mut cdb = [0; 16];
         (cdb[0], cdb[1], cdb[13]) = (0x9e, 0x10, 32);
-        let command = Command { lun: lun_field(unit.lun), cdb, read_len: 32, ..Command::default() };
+        let command = Command { lun: encode_lun(unit.lun), cdb, read_len: 32, ..Command::default() };
         self.connection.submit(Sent::Capacity, command).map_err(|_| failed("the session is closed"))?;
         match self.events.recv_timeout(PATIENCE) {
-            Ok(ConnectionEvent::Done(_, done)) if done.status == status::GOOD && done.data.len() >= 12 => {
+            Ok(ConnectionEvent::Completed(_, done))
+                if done.status == status::GOOD && done.data.len() >= 12 =>
+            {
                 let data = done.data.to_bytes();
                 let word =
                     |r: std::ops::Range<usize>| data[r].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
@@ -147,7 +149,7 @@
                 }
                 Ok((word(0..8).saturating_add(1), block))
             }
-            Ok(ConnectionEvent::Done(_, done)) => Err(failed(&format!("status {:#04x}", done.status))),
+            Ok(ConnectionEvent::Completed(_, done)) => Err(failed(&format!("status {:#04x}", done.status))),
             Ok(_) => Err(failed("the session ended")),
             Err(_) => Err(failed("no answer in time")),
         }
@@ -264,7 +266,7 @@
             Kind::Write => MediaOp::Write,
             Kind::Flush => MediaOp::Flush,
         };
-        let media = Media { op, lba: ask.lba, blocks: ask.blocks, fua: false, group: 0 };
+        let media = MediaCommand { op, lba: ask.lba, blocks: ask.blocks, fua: false, group: 0 };
         let mut data = Vec::new();
         let mut number = Number(0);
         match (ask.kind, self.spec.plan.verify) {
@@ -281,11 +283,11 @@
             _ => {}
         }
         let command = Command {
-            lun: lun_field(self.spec.unit.lun),
+            lun: encode_lun(self.spec.unit.lun),
             cdb: media.to_cdb(),
-            read_len: media.data_in(self.block) as u32,
+            read_len: media.data_in_length(self.block) as u32,
             data: Payload::from(data),
-            ext: None,
+            metadata: None,
         };
         let sent = link.connection.submit(Sent::Ask { ask, number, due }, command).is_ok();
         if sent {
@@ -302,7 +304,7 @@
         let mut wait = wait;
         loop {
             match link.events.recv_timeout(wait) {
-                Ok(ConnectionEvent::Done(Sent::Ask { ask, number, due }, done)) => {
+                Ok(ConnectionEvent::Completed(Sent::Ask { ask, number, due }, done)) => {
                     self.done(ask, number, due, &done);
                 }
                 Ok(ConnectionEvent::Closed(_, sent, never_sent)) => {
@@ -326,7 +328,7 @@
         }
     }
 
-    fn done(&mut self, ask: Ask, number: Number, due: Instant, done: &CommandDone) {
+    fn done(&mut self, ask: Ask, number: Number, due: Instant, done: &CommandCompletion) {
         self.out = self.out.saturating_sub(1);
         let (end, write) = match done.status {
             status::GOOD => (End::Served, WriteEnd::Acknowledged),
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,8 +1,10 @@
 //! The asking side: one connection to a target, shared by whoever submits.
 
-use crate::stream::{read_once, spawn_small, write_runs, Direction, TapRef};
+use crate::stream::{read_once, spawn_small_stack, write_runs, Direction, StreamTap};
 use crossbeam_channel::{bounded, Receiver, Sender};
-use pearfork_iscsi::{Command, CommandDone, Initiator, InitiatorConfig, InitiatorError, InitiatorEvent};
+use pearfork_iscsi::{
+    Command, CommandCompletion, Initiator, InitiatorConfig, InitiatorError, InitiatorEvent,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -10,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 /// What a submitter knows a command by.
-pub trait Token: Send + 'static {
+pub trait CommandToken: Send + 'static {
     /// Whether it is still to be sent; asked again where it had to wait for the command window.
-    fn is_wanted(&self) -> bool {
+    fn is_needed(&self) -> bool {
         true
     }
 }
@@ -42,7 +44,7 @@
 #[derive(Debug)]
 pub enum ConnectionEvent<T> {
     /// A command ended.
-    Done(T, Box<CommandDone>),
+    Completed(T, Box<CommandCompletion>),
     /// The target answered an abort before the command.
     Aborted(T),
     /// The target wants the session to end.
@@ -69,7 +71,7 @@
 /// Commands that wait for the window at the most.
 const MOST_WAITING: usize = 256;
 
-impl<T: Token> Connection<T> {
+impl<T: CommandToken> Connection<T> {
     /// Connects and logs in, within `within` for both; then `events` is called for all that comes.
     ///
     /// # Errors
@@ -78,7 +80,7 @@
         address: SocketAddr,
         config: InitiatorConfig,
         within: Duration,
-        tap: TapRef,
+        tap: StreamTap,
         events: impl FnMut(ConnectionEvent<T>) + Send + 'static,
     ) -> Result<Arc<Connection<T>>, ConnectError> {
         let socket = |source| ConnectError::Socket { address, source };
@@ -113,9 +115,9 @@
         let connection = Arc::new(Connection { state: Mutex::new(state), wake, stream: own, tsih });
         let (writing, reading) = (connection.clone(), connection.clone());
         let (write_half, write_tap) = (stream.try_clone().map_err(socket)?, tap.clone());
-        spawn_small("node-writer", move || writing.write_loop(write_half, &woken, &write_tap))
+        spawn_small_stack("node-writer", move || writing.write_loop(write_half, &woken, &write_tap))
             .map_err(socket)?;
-        spawn_small("node-reader", move || reading.read_loop(stream, &tap, events)).map_err(socket)?;
+        spawn_small_stack("node-reader", move || reading.read_loop(stream, &tap, events)).map_err(socket)?;
         Ok(connection)
     }
 
@@ -129,7 +131,7 @@
     }
 
     /// Whether both sides speak the project's extension.
-    pub fn speaks_extension(&self) -> bool {
+    pub fn extension_negotiated(&self) -> bool {
         self.lock().initiator.params().extension
     }
 
@@ -173,8 +175,8 @@
     }
 
     /// Sends a task management function (RFC 7143, section 11.5.1) for a unit.
-    pub fn manage(&self, function: u8, lun: u64) {
-        self.lock().initiator.manage(function, lun);
+    pub fn send_task_management(&self, function: u8, lun: u64) {
+        self.lock().initiator.send_task_management(function, lun);
         self.wake();
     }
 
@@ -194,7 +196,7 @@
         let _ = self.wake.try_send(());
     }
 
-    fn write_loop(&self, mut stream: TcpStream, woken: &Receiver<()>, tap: &TapRef) {
+    fn write_loop(&self, mut stream: TcpStream, woken: &Receiver<()>, tap: &StreamTap) {
         while woken.recv().is_ok() {
             loop {
                 let (runs, open) = {
@@ -215,7 +217,7 @@
         }
     }
 
-    fn read_loop(&self, mut stream: TcpStream, tap: &TapRef, mut events: impl FnMut(ConnectionEvent<T>)) {
+    fn read_loop(&self, mut stream: TcpStream, tap: &StreamTap, mut events: impl FnMut(ConnectionEvent<T>)) {
         let why = loop {
             let (mut buffer, wanted) = {
                 let mut state = self.lock();
@@ -236,9 +238,9 @@
                 let worked = state.initiator.process(&mut came);
                 for event in came {
                     match event {
-                        InitiatorEvent::Done(done) => {
+                        InitiatorEvent::Completed(done) => {
                             if let Some(token) = state.sent.remove(&done.itt) {
-                                told.push(ConnectionEvent::Done(token, done));
+                                told.push(ConnectionEvent::Completed(token, done));
                             }
                         }
                         InitiatorEvent::Aborted(itt, _) => {
@@ -271,12 +273,12 @@
     }
 }
 
-impl<T: Token> State<T> {
+impl<T: CommandToken> State<T> {
     /// Sends what waited for the window. Danger: what its owner gave up while it waited must not go out.
     fn fill_window(&mut self) {
         while self.initiator.has_room() {
             let Some((token, command)) = self.waiting.pop_front() else { return };
-            if !token.is_wanted() {
+            if !token.is_needed() {
                 continue;
             }
             if let Some(itt) = self.initiator.submit(command) {
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -3,9 +3,9 @@
 
 mod response;
 
-pub use response::{Response, ResponseFault, ResponseReader};
+pub use response::{ResponseError, ResponseParser, StatusAndBody};
 
-use crate::stream::spawn_small;
+use crate::stream::spawn_small_stack;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -31,7 +31,7 @@
 
 /// A call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Call<'a> {
+pub struct Request<'a> {
     /// What the caller wants done.
     pub method: Method,
     /// To what, with its query.
@@ -43,7 +43,7 @@
 
 /// What is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// Type of the body.
@@ -52,21 +52,21 @@
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// Status 200.
-    pub fn ok(content_type: &'static str, body: impl Into<Vec<u8>>) -> Answer {
-        Answer { status: 200, content_type, body: body.into() }
+    pub fn ok(content_type: &'static str, body: impl Into<Vec<u8>>) -> Response {
+        Response { status: 200, content_type, body: body.into() }
     }
 
     /// An error in words.
-    pub fn error(status: u16, words: &str) -> Answer {
-        Answer { status, content_type: "text/plain; charset=utf-8", body: format!("{words}\n").into() }
+    pub fn error(status: u16, words: &str) -> Response {
+        Response { status, content_type: "text/plain; charset=utf-8", body: format!("{words}\n").into() }
     }
 }
 
 /// A call that failed.
 #[derive(Debug, thiserror::Error)]
-pub enum CallError {
+pub enum RequestError {
     /// The socket.
     #[error("{address}: {source}")]
     Socket {
@@ -77,11 +77,11 @@
     },
     /// The answer can't be read.
     #[error("{address}: answer makes no sense: {what}")]
-    Answer {
+    InvalidResponse {
         /// From where.
         address: SocketAddr,
         /// What is wrong with it.
-        what: ResponseFault,
+        what: ResponseError,
     },
 }
 
@@ -98,11 +98,11 @@
     /// No thread could be had.
     pub fn start(
         listener: TcpListener,
-        answer: impl Fn(&str) -> Answer + Send + Sync + 'static,
+        answer: impl Fn(&str) -> Response + Send + Sync + 'static,
     ) -> io::Result<Server> {
-        Server::start_with(listener, move |call| match call.method {
+        Server::start_with_methods(listener, move |call| match call.method {
             Method::Get => answer(call.path),
-            Method::Post => Answer::error(405, "only GET is answered here"),
+            Method::Post => Response::error(405, "only GET is answered here"),
         })
     }
 
@@ -110,14 +110,14 @@
     ///
     /// # Errors
     /// No thread could be had.
-    pub fn start_with(
+    pub fn start_with_methods(
         listener: TcpListener,
-        answer: impl Fn(Call<'_>) -> Answer + Send + Sync + 'static,
+        answer: impl Fn(Request<'_>) -> Response + Send + Sync + 'static,
     ) -> io::Result<Server> {
         let address = listener.local_addr()?;
         let stopping = Arc::new(AtomicBool::new(false));
         let (answer, open, stop) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)), stopping.clone());
-        spawn_small("http", move || loop {
+        spawn_small_stack("http", move || loop {
             let accepted = listener.accept();
             if stop.load(Ordering::SeqCst) {
                 return;
@@ -131,7 +131,7 @@
                 continue;
             }
             let (answer, done) = (answer.clone(), open.clone());
-            let spawned = spawn_small("http-request", move || {
+            let spawned = spawn_small_stack("http-request", move || {
                 let _ = serve(stream, &*answer);
                 done.fetch_sub(1, Ordering::SeqCst);
             });
@@ -155,7 +155,7 @@
     }
 }
 
-fn serve(mut stream: TcpStream, answer: &dyn Fn(Call<'_>) -> Answer) -> io::Result<()> {
+fn serve(mut stream: TcpStream, answer: &dyn Fn(Request<'_>) -> Response) -> io::Result<()> {
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     stream.set_write_timeout(Some(Duration::from_secs(5)))?;
     let mut head = Vec::new();
@@ -172,15 +172,15 @@
             Ok(httparse::Status::Complete(_)) => {
                 let marked = request.headers.iter().any(|h| h.name.eq_ignore_ascii_case(CTL_HEADER));
                 break match (request.method, request.path) {
-                    (Some("GET"), Some(path)) => answer(Call { method: Method::Get, path }),
-                    (Some("POST"), Some(path)) if marked => answer(Call { method: Method::Post, path }),
-                    (Some("POST"), Some(_)) => Answer::error(403, "a POST needs the header X-Pearfork-Ctl"),
-                    _ => Answer::error(405, "only GET and POST are answered here"),
+                    (Some("GET"), Some(path)) => answer(Request { method: Method::Get, path }),
+                    (Some("POST"), Some(path)) if marked => answer(Request { method: Method::Post, path }),
+                    (Some("POST"), Some(_)) => Response::error(403, "a POST needs the header X-Pearfork-Ctl"),
+                    _ => Response::error(405, "only GET and POST are answered here"),
                 };
             }
             Ok(httparse::Status::Partial) if head.len() < MAX_HEAD => {}
-            Ok(httparse::Status::Partial) => break Answer::error(431, "head too long"),
-            Err(e) => break Answer::error(400, &e.to_string()),
+            Ok(httparse::Status::Partial) => break Response::error(431, "head too long"),
+            Err(e) => break Response::error(400, &e.to_string()),
         }
     };
     let words = match answer.status {
@@ -206,8 +206,8 @@
 ///
 /// # Errors
 /// No whole answer within `within`, from the first packet to the last byte.
-pub fn get(address: SocketAddr, path: &str, within: Duration) -> Result<Response, CallError> {
-    get_while(address, path, within, |_| true)
+pub fn get(address: SocketAddr, path: &str, within: Duration) -> Result<StatusAndBody, RequestError> {
+    get_cancellable(address, path, within, |_| true)
 }
 
 /// The same; `goes_on` is given the connection once it is up, may keep a handle of it to end the call from elsewhere,
@@ -215,31 +215,31 @@
 ///
 /// # Errors
 /// As [`get`].
-pub fn get_while(
+pub fn get_cancellable(
     address: SocketAddr,
     path: &str,
     within: Duration,
     goes_on: impl FnOnce(&TcpStream) -> bool,
-) -> Result<Response, CallError> {
-    call(address, Call { method: Method::Get, path }, within, goes_on)
+) -> Result<StatusAndBody, RequestError> {
+    call(address, Request { method: Method::Get, path }, within, goes_on)
 }
 
 /// POSTs to a path, without a body; status and body of the answer.
 ///
 /// # Errors
 /// As [`get`].
-pub fn post(address: SocketAddr, path: &str, within: Duration) -> Result<Response, CallError> {
-    call(address, Call { method: Method::Post, path }, within, |_| true)
+pub fn post(address: SocketAddr, path: &str, within: Duration) -> Result<StatusAndBody, RequestError> {
+    call(address, Request { method: Method::Post, path }, within, |_| true)
 }
 
 /// Danger: a time-out for each read lets a body that trickles hold its caller for ever; the time is the whole call's.
 fn call(
     address: SocketAddr,
-    call: Call<'_>,
+    call: Request<'_>,
     within: Duration,
     goes_on: impl FnOnce(&TcpStream) -> bool,
-) -> Result<Response, CallError> {
-    let socket = |source| CallError::Socket { address, source };
+) -> Result<StatusAndBody, RequestError> {
+    let socket = |source| RequestError::Socket { address, source };
     let end = Instant::now() + within;
     let left = || match end.saturating_duration_since(Instant::now()) {
         Duration::ZERO => Err(socket(io::ErrorKind::TimedOut.into())),
@@ -257,13 +257,13 @@
     let path = call.path;
     let request = format!("{verb} {path} HTTP/1.1\r\nHost: {address}\r\n{more}Connection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).map_err(socket)?;
-    let mut reader = ResponseReader::default();
+    let mut reader = ResponseParser::default();
     let mut piece = vec![0; PIECE];
     let read = loop {
         stream.set_read_timeout(Some(left()?)).map_err(socket)?;
         match stream.read(&mut piece) {
-            Ok(0) => break reader.end(),
-            Ok(n) => match reader.take(&piece[..n]) {
+            Ok(0) => break reader.finish(),
+            Ok(n) => match reader.feed(&piece[..n]) {
                 Ok(None) => {}
                 Ok(Some(whole)) => break Ok(whole),
                 Err(fault) => break Err(fault),
@@ -272,11 +272,11 @@
             Err(e) => return Err(socket(e)),
         }
     };
-    read.map_err(|what| CallError::Answer { address, what })
+    read.map_err(|what| RequestError::InvalidResponse { address, what })
 }
 
 /// The value of a key in a path's query, as it stands.
-pub fn query<'a>(path: &'a str, key: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(path: &'a str, key: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     query.split('&').find_map(|pair| pair.split_once('=').filter(|(k, _)| *k == key).map(|(_, v)| v))
 }
--- a/crates/net/src/http/response.rs
+++ b/crates/net/src/http/response.rs
@@ -13,17 +13,17 @@
 const MAX_INTERIM: usize = 8;
 
 /// Status and body.
-pub type Response = (u16, Vec<u8>);
+pub type StatusAndBody = (u16, Vec<u8>);
 
 /// Why a response is of no use.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ResponseFault {
+pub enum ResponseError {
     /// The connection ended within the head.
     #[error("it ends within its head")]
-    CutHead,
+    TruncatedHead,
     /// The connection ended within a body that states its length, by a figure or by chunks.
     #[error("it ends before its stated length")]
-    CutBody,
+    TruncatedBody,
     /// The head can't be read.
     #[error("its head makes no sense: {0}")]
     Head(String),
@@ -53,7 +53,7 @@
 
 /// Takes bytes, gives the response once it is whole.
 #[derive(Debug)]
-pub struct ResponseReader {
+pub struct ResponseParser {
     buffer: Vec<u8>,
     body: Vec<u8>,
     /// Bytes still to come of the chunk that is read, its line end included; `None` between chunks.
@@ -63,9 +63,9 @@
     stage: Stage,
 }
 
-impl Default for ResponseReader {
+impl Default for ResponseParser {
     fn default() -> Self {
-        ResponseReader {
+        ResponseParser {
             buffer: Vec::new(),
             body: Vec::new(),
             chunk: None,
@@ -75,12 +75,12 @@
     }
 }
 
-impl ResponseReader {
+impl ResponseParser {
     /// Bytes came: the response, where it is whole by its own word.
     ///
     /// # Errors
     /// It is of no use, whatever comes after.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseFault> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<StatusAndBody>, ResponseError> {
         self.buffer.extend_from_slice(bytes);
         loop {
             match self.stage {
@@ -99,20 +99,20 @@
     ///
     /// # Errors
     /// It was cut off.
-    pub fn end(&mut self) -> Result<Response, ResponseFault> {
+    pub fn finish(&mut self) -> Result<StatusAndBody, ResponseError> {
         match self.stage {
-            Stage::Head { .. } => Err(ResponseFault::CutHead),
+            Stage::Head { .. } => Err(ResponseError::TruncatedHead),
             Stage::Body { status, framing: Framing::ToEnd } => Ok((status, std::mem::take(&mut self.body))),
-            Stage::Body { .. } => Err(ResponseFault::CutBody),
+            Stage::Body { .. } => Err(ResponseError::TruncatedBody),
         }
     }
 
-    fn head(&mut self, interim: usize) -> Result<Option<Stage>, ResponseFault> {
+    fn head(&mut self, interim: usize) -> Result<Option<Stage>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; 64];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(&self.buffer).map_err(|e| ResponseFault::Head(e.to_string()))?;
+        let parsed = response.parse(&self.buffer).map_err(|e| ResponseError::Head(e.to_string()))?;
         let httparse::Status::Complete(length) = parsed else {
-            return if self.buffer.len() > MAX_HEAD { Err(ResponseFault::TooLong) } else { Ok(None) };
+            return if self.buffer.len() > MAX_HEAD { Err(ResponseError::TooLong) } else { Ok(None) };
         };
         let status = response.code.unwrap_or(0);
         let framing = framing(status, response.headers)?;
@@ -120,7 +120,7 @@
         if (100..200).contains(&status) {
             let interim = interim + 1;
             return if interim > MAX_INTERIM {
-                Err(ResponseFault::TooLong)
+                Err(ResponseError::TooLong)
             } else {
                 Ok(Some(Stage::Head { interim }))
             };
@@ -129,7 +129,7 @@
     }
 
     /// Whether the body is whole.
-    fn body(&mut self, framing: Framing) -> Result<bool, ResponseFault> {
+    fn body(&mut self, framing: Framing) -> Result<bool, ResponseError> {
         match framing {
             Framing::Length(length) => {
                 let more = (length - self.body.len()).min(self.buffer.len());
@@ -139,7 +139,7 @@
             Framing::ToEnd => {
                 self.body.append(&mut self.buffer);
                 if self.body.len() > MAX_BODY {
-                    return Err(ResponseFault::TooLong);
+                    return Err(ResponseError::TooLong);
                 }
                 Ok(false)
             }
@@ -147,7 +147,7 @@
         }
     }
 
-    fn chunks(&mut self) -> Result<bool, ResponseFault> {
+    fn chunks(&mut self) -> Result<bool, ResponseError> {
         loop {
             if let Some(left) = self.chunk {
                 // The chunk's own line end is not of the body.
@@ -159,13 +159,13 @@
                     return Ok(false);
                 }
                 if self.buffer[..2] != *b"\r\n" {
-                    return Err(ResponseFault::Length("chunk"));
+                    return Err(ResponseError::Length("chunk"));
                 }
                 self.buffer.drain(..2);
                 self.chunk = None;
             }
             let Some(end) = self.buffer.windows(2).position(|w| w == b"\r\n") else {
-                return if self.buffer.len() > MAX_LINE { Err(ResponseFault::TooLong) } else { Ok(false) };
+                return if self.buffer.len() > MAX_LINE { Err(ResponseError::TooLong) } else { Ok(false) };
             };
             let line: Vec<u8> = self.buffer.drain(..end + 2).collect();
             let line = &line[..end];
@@ -179,9 +179,9 @@
             let digits = std::str::from_utf8(digits).map(str::trim).unwrap_or_default();
             let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
             let size = usize::from_str_radix(digits, 16).ok().filter(|_| plain);
-            let size = size.ok_or(ResponseFault::Length("chunk"))?;
+            let size = size.ok_or(ResponseError::Length("chunk"))?;
             if size > MAX_BODY || self.body.len() + size > MAX_BODY {
-                return Err(ResponseFault::TooLong);
+                return Err(ResponseError::TooLong);
             }
             match size {
                 0 => self.trailers = true,
@@ -191,7 +191,7 @@
     }
 }
 
-fn framing(status: u16, headers: &[httparse::Header<'_>]) -> Result<Framing, ResponseFault> {
+fn framing(status: u16, headers: &[httparse::Header<'_>]) -> Result<Framing, ResponseError> {
     let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
     if (100..200).contains(&status) || status == 204 || status == 304 {
         return Ok(Framing::Length(0));
@@ -202,7 +202,7 @@
         return if text.trim().eq_ignore_ascii_case("chunked") {
             Ok(Framing::Chunked)
         } else {
-            Err(ResponseFault::Length("transfer-encoding"))
+            Err(ResponseError::Length("transfer-encoding"))
         };
     }
     let mut told = None;
@@ -210,14 +210,14 @@
         let text = std::str::from_utf8(header.value).map(str::trim).unwrap_or_default();
         let plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
         let length = text.parse::<usize>().ok().filter(|_| plain);
-        let length = length.ok_or(ResponseFault::Length("content-length"))?;
+        let length = length.ok_or(ResponseError::Length("content-length"))?;
         if told.is_some_and(|t| t != length) {
-            return Err(ResponseFault::Length("content-length"));
+            return Err(ResponseError::Length("content-length"));
         }
         told = Some(length);
     }
     match told {
-        Some(length) if length > MAX_BODY => Err(ResponseFault::TooLong),
+        Some(length) if length > MAX_BODY => Err(ResponseError::TooLong),
         Some(length) => Ok(Framing::Length(length)),
         None => Ok(Framing::ToEnd),
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -14,9 +14,11 @@
 mod write_buffer;
 
 pub use clock::Clock;
-pub use connection::{ConnectError, Connection, ConnectionEvent, Token};
-pub use poll::{begin_connect, Poller, Ready, Want, MOST_TOLD};
-pub use portal::{Portal, PortalConfig, Service, Session, SessionId};
+pub use connection::{CommandToken, ConnectError, Connection, ConnectionEvent};
+pub use poll::{start_connect, Interest, Poller, Readiness, MAX_EVENTS};
+pub use portal::{Portal, PortalConfig, Session, SessionHandler, SessionId};
 pub use ports::free_addresses;
-pub use stream::{get_to_start, is_shortage, lock, spawn_small, Direction, Tap, TapRef};
-pub use write_buffer::{long_queue, shut_listener, Flusher, Waiting, WriteBuffer};
+pub use stream::{
+    is_resource_shortage, lock, retry_startup_shortage, spawn_small_stack, Direction, StreamTap, Tap,
+};
+pub use write_buffer::{set_accept_backlog, shutdown_listener, Flusher, PeekResult, WriteBuffer};
--- a/crates/net/src/poll.rs
+++ b/crates/net/src/poll.rs
@@ -15,39 +15,39 @@
 /// The token under which [`Poller::wake`] comes; sockets have others.
 const WOKEN: u64 = u64::MAX;
 /// Sockets that one wait tells of at the most; where it tells of so many, others may have something too.
-pub const MOST_TOLD: usize = 64;
+pub const MAX_EVENTS: usize = 64;
 
 /// What a socket is watched for; that it broke, or that its other end sends no more, is told in any case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Interest {
     /// That it broke or ended.
-    Nothing,
+    Hangup,
     /// Something to read, or its end.
-    Read,
+    Readable,
     /// Room to write; a connection that came up has it.
-    Write,
+    Writable,
 }
 
-impl Want {
+impl Interest {
     fn flags(self) -> epoll::EventFlags {
         match self {
             // Danger: without RDHUP an orderly end is behind what nobody reads, and its client seems to wait.
-            Want::Nothing => epoll::EventFlags::RDHUP,
-            Want::Read => epoll::EventFlags::IN | epoll::EventFlags::RDHUP,
-            Want::Write => epoll::EventFlags::OUT,
+            Interest::Hangup => epoll::EventFlags::RDHUP,
+            Interest::Readable => epoll::EventFlags::IN | epoll::EventFlags::RDHUP,
+            Interest::Writable => epoll::EventFlags::OUT,
         }
     }
 }
 
 /// A socket that has what it was watched for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ready {
+pub struct Readiness {
     /// The token it was added with.
     pub token: u64,
     /// Both directions are over, or it has an error.
-    pub broken: bool,
+    pub hung_up: bool,
     /// The other end sends no more, whether or not what it sent has been read.
-    pub ended: bool,
+    pub peer_closed: bool,
 }
 
 /// A set of watched sockets. What is true of a socket is told at each wait for as long as it is true.
@@ -65,7 +65,7 @@
     pub fn new() -> io::Result<Poller> {
         let set = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let waker = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
-        epoll::add(&set, &waker, epoll::EventData::new_u64(WOKEN), Want::Read.flags())?;
+        epoll::add(&set, &waker, epoll::EventData::new_u64(WOKEN), Interest::Readable.flags())?;
         Ok(Poller { set, waker })
     }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// What the system says: it is watched already, or no room is left.
-    pub fn add(&self, socket: impl AsFd, token: u64, want: Want) -> io::Result<()> {
+    pub fn add(&self, socket: impl AsFd, token: u64, want: Interest) -> io::Result<()> {
         Ok(epoll::add(&self.set, socket, epoll::EventData::new_u64(token), want.flags())?)
     }
 
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// It is not watched.
-    pub fn change(&self, socket: impl AsFd, token: u64, want: Want) -> io::Result<()> {
+    pub fn modify(&self, socket: impl AsFd, token: u64, want: Interest) -> io::Result<()> {
         Ok(epoll::modify(&self.set, socket, epoll::EventData::new_u64(token), want.flags())?)
     }
 
@@ -99,11 +99,11 @@
     ///
     /// # Errors
     /// What the system says; nothing can be waited for any more.
-    pub fn wait(&self, ready: &mut Vec<Ready>, until: Option<Instant>) -> io::Result<()> {
+    pub fn wait(&self, ready: &mut Vec<Readiness>, until: Option<Instant>) -> io::Result<()> {
         ready.clear();
         let mut events =
             [epoll::Event { flags: epoll::EventFlags::empty(), data: epoll::EventData::new_u64(0) };
-                MOST_TOLD];
+                MAX_EVENTS];
         // In whole milliseconds, rounded up: a wait that ended just before its moment would be followed by another.
         let left = until.map(|at| at.saturating_duration_since(Instant::now()));
         let left = left.map(|d| Duration::from_millis(d.as_nanos().div_ceil(1_000_000) as u64));
@@ -118,21 +118,21 @@
             if token == WOKEN {
                 let _ = rustix::io::read(&self.waker, &mut [0u8; 8]);
             } else {
-                let broken = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP);
-                let ended = broken || flags.contains(epoll::EventFlags::RDHUP);
-                ready.push(Ready { token, broken, ended });
+                let hung_up = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP);
+                let peer_closed = hung_up || flags.contains(epoll::EventFlags::RDHUP);
+                ready.push(Readiness { token, hung_up, peer_closed });
             }
         }
         Ok(())
     }
 }
 
-/// Begins to connect, without waiting. Watched for [`Want::Write`], the stream is told once it is up or has failed, and
+/// Begins to connect, without waiting. Watched for [`Interest::Writable`], the stream is told once it is up or has failed, and
 /// `take_error` says which.
 ///
 /// # Errors
 /// No descriptor is left, or the address is refused at once.
-pub fn begin_connect(address: &SocketAddr) -> io::Result<TcpStream> {
+pub fn start_connect(address: &SocketAddr) -> io::Result<TcpStream> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
@@ -168,15 +168,15 @@
     fn a_socket_is_told_while_it_has_what_it_is_watched_for_and_not_after_its_removal() {
         let poller = Poller::new().unwrap();
         let (here, mut there) = pair();
-        poller.add(&here, 7, Want::Read).unwrap();
+        poller.add(&here, 7, Interest::Readable).unwrap();
         assert!(tokens(&poller, Duration::ZERO).is_empty());
         there.write_all(b"x").unwrap();
         let long = Duration::from_secs(10);
         assert_eq!(tokens(&poller, long), [7]);
         assert_eq!(tokens(&poller, long), [7], "still there");
-        poller.change(&here, 7, Want::Nothing).unwrap();
+        poller.modify(&here, 7, Interest::Hangup).unwrap();
         assert!(tokens(&poller, Duration::ZERO).is_empty());
-        poller.change(&here, 7, Want::Write).unwrap();
+        poller.modify(&here, 7, Interest::Writable).unwrap();
         assert_eq!(tokens(&poller, long), [7]);
         poller.remove(&here);
         assert!(tokens(&poller, Duration::ZERO).is_empty());
@@ -187,14 +187,14 @@
         let poller = Poller::new().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let up = begin_connect(&address).unwrap();
-        poller.add(&up, 1, Want::Write).unwrap();
+        let up = start_connect(&address).unwrap();
+        poller.add(&up, 1, Interest::Writable).unwrap();
         assert_eq!(tokens(&poller, Duration::from_secs(10)), [1]);
         assert!(up.take_error().unwrap().is_none());
         poller.remove(&up);
         drop(listener);
-        let Ok(refused) = begin_connect(&address) else { return };
-        poller.add(&refused, 2, Want::Write).unwrap();
+        let Ok(refused) = start_connect(&address) else { return };
+        poller.add(&refused, 2, Interest::Writable).unwrap();
         assert_eq!(tokens(&poller, Duration::from_secs(10)), [2]);
         assert!(refused.take_error().unwrap().is_some());
     }
--- a/crates/net/src/portal.rs
+++ b/crates/net/src/portal.rs
@@ -1,9 +1,9 @@
 //! The accepting side: a listener, and for every connection the target's end of a session.
 
-use crate::stream::{lock, read_once, spawn_small, write_runs, Direction, TapRef};
+use crate::stream::{lock, read_once, spawn_small_stack, write_runs, Direction, StreamTap};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_iscsi::{
-    Access, Limits, LoginStatus, Response, ScsiCommand, Target, TargetEvent, TaskTag, TmfFunction,
+    AccessControl, Limits, LoginStatus, Response, ScsiCommand, Target, TargetEvent, TaskTag, TmfFunction,
 };
 use std::collections::HashMap;
 use std::io;
@@ -16,7 +16,7 @@
 pub struct SessionId(pub u64);
 
 /// What stands behind a portal. Calls come from the session's reading thread, in the order of the wire.
-pub trait Service: Send + Sync + 'static {
+pub trait SessionHandler: Send + Sync + 'static {
     /// The full feature phase began.
     ///
     /// # Errors
@@ -32,7 +32,7 @@
     /// The answer to a command is no longer wanted.
     fn aborted(&self, session: &Arc<Session>, tag: TaskTag);
     /// Task management that may concern other sessions.
-    fn managed(&self, _session: &Arc<Session>, _function: TmfFunction, _lun: u64) {}
+    fn task_management(&self, _session: &Arc<Session>, _function: TmfFunction, _lun: u64) {}
     /// The connection is gone; no answer is wanted any more. Called once.
     fn closed(&self, session: &Arc<Session>, why: &str);
 }
@@ -41,16 +41,16 @@
 #[derive(Clone)]
 pub struct PortalConfig {
     /// Who may log in where.
-    pub access: Arc<dyn Access>,
+    pub access: Arc<dyn AccessControl>,
     /// Bounds of each session.
     pub limits: Limits,
     /// Most connections at once; further ones are closed at once.
-    pub sessions: usize,
+    pub max_sessions: usize,
     /// Bytes waiting for a client beyond which nothing more is read from it.
-    pub unread: usize,
+    pub max_unsent_bytes: usize,
     /// Handle of the first session. A host that starts again begins elsewhere, so that no handle of its last life,
     /// and no name made of one, comes again soon.
-    pub first_handle: u16,
+    pub first_tsih: u16,
     /// Who notes the bytes; the stream's number is the session's.
     pub tap: Option<Arc<dyn crate::stream::Tap>>,
 }
@@ -108,8 +108,8 @@
     }
 
     /// Commands in work.
-    pub fn tasks(&self) -> usize {
-        lock(&self.target).tasks()
+    pub fn task_count(&self) -> usize {
+        lock(&self.target).task_count()
     }
 
     /// Whether something is still to be written to the client.
@@ -137,7 +137,7 @@
 
 struct Shared {
     config: PortalConfig,
-    service: Arc<dyn Service>,
+    service: Arc<dyn SessionHandler>,
     sessions: Mutex<HashMap<SessionId, Arc<Session>>>,
     nexuses: Mutex<HashMap<Nexus, Arc<Session>>>,
     open: AtomicUsize,
@@ -150,7 +150,7 @@
     /// A handle that no open session has; never 0. There are far more handles than sessions may be open.
     fn handle(&self, number: u64) -> u16 {
         let sessions = lock(&self.sessions);
-        let from = number + u64::from(self.config.first_handle);
+        let from = number + u64::from(self.config.first_tsih);
         let handles = (0..0xffff).map(|i| ((from + i) % 0xffff) as u16 + 1);
         let free = |h: &u16| sessions.values().all(|s| s.tsih != *h);
         handles.into_iter().find(free).unwrap_or(1)
@@ -171,7 +171,7 @@
     pub fn start(
         listener: TcpListener,
         config: PortalConfig,
-        service: Arc<dyn Service>,
+        service: Arc<dyn SessionHandler>,
     ) -> io::Result<Portal> {
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
@@ -185,7 +185,7 @@
             deaf: AtomicBool::new(false),
         });
         let inner = shared.clone();
-        spawn_small("portal", move || accept(&listener, &inner))?;
+        spawn_small_stack("portal", move || accept(&listener, &inner))?;
         Ok(Portal { address, shared })
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// Closes all connections at once, and accepts no more.
-    pub fn kill(&self) {
+    pub fn close_all(&self) {
         self.stop_accepting();
         self.sessions().iter().for_each(|s| s.close());
     }
@@ -226,7 +226,7 @@
         }
         match accepted {
             Ok((stream, peer)) => {
-                if shared.open.load(Ordering::SeqCst) >= shared.config.sessions {
+                if shared.open.load(Ordering::SeqCst) >= shared.config.max_sessions {
                     tracing::warn!(%peer, "connection closed: as many sessions as the settings allow");
                     continue;
                 }
@@ -261,21 +261,22 @@
         closed: AtomicBool::new(false),
         writing: AtomicBool::new(false),
     });
-    let tap = TapRef(shared.config.tap.clone().map(|t| (t, number)));
+    let tap = StreamTap(shared.config.tap.clone().map(|t| (t, number)));
     let (writing, writer_stream, writer_tap) = (session.clone(), stream.try_clone()?, tap.clone());
     lock(&shared.sessions).insert(session.id, session.clone());
     shared.open.fetch_add(1, Ordering::SeqCst);
     let reading = Reading { shared: shared.clone(), session, tap, nexus: None };
     // From here on the reading thread's end clears everything, whatever fails.
-    let writer = spawn_small("writer", move || write_loop(&writing, writer_stream, &woken, &writer_tap));
+    let writer =
+        spawn_small_stack("writer", move || write_loop(&writing, writer_stream, &woken, &writer_tap));
     if writer.is_err() {
         reading.finish("no thread for it");
         return writer.map(drop);
     }
-    spawn_small("reader", move || reading.run(stream)).map(drop)
+    spawn_small_stack("reader", move || reading.run(stream)).map(drop)
 }
 
-fn write_loop(session: &Session, mut stream: TcpStream, woken: &Receiver<()>, tap: &TapRef) {
+fn write_loop(session: &Session, mut stream: TcpStream, woken: &Receiver<()>, tap: &StreamTap) {
     while woken.recv().is_ok() {
         loop {
             let (runs, closing) = {
@@ -307,7 +308,7 @@
 struct Reading {
     shared: Arc<Shared>,
     session: Arc<Session>,
-    tap: TapRef,
+    tap: StreamTap,
     nexus: Option<Nexus>,
 }
 
@@ -347,7 +348,9 @@
             // The decoder is this thread's alone: its buffer is filled without the lock.
             let (mut buffer, wanted) = {
                 let mut target = lock(&session.target);
-                while target.queued() > self.shared.config.unread && !session.over.load(Ordering::SeqCst) {
+                while target.queued() > self.shared.config.max_unsent_bytes
+                    && !session.over.load(Ordering::SeqCst)
+                {
                     // Danger: a client that sends and never reads would fill memory with answers.
                     let wait = std::time::Duration::from_millis(500);
                     let waited = session.taken.wait_timeout(target, wait);
@@ -386,8 +389,8 @@
                     }
                     TargetEvent::Command(c) => self.shared.service.command(&session, *c),
                     TargetEvent::Aborted(tag) => self.shared.service.aborted(&session, tag),
-                    TargetEvent::Managed { function, lun } => {
-                        self.shared.service.managed(&session, function, lun);
+                    TargetEvent::TaskManagement { function, lun } => {
+                        self.shared.service.task_management(&session, function, lun);
                     }
                     TargetEvent::Closing(why) => return why,
                 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -27,9 +27,9 @@
 
 /// A tap, where there is one, and the number of the stream.
 #[derive(Clone, Default)]
-pub struct TapRef(pub Option<(Arc<dyn Tap>, u64)>);
+pub struct StreamTap(pub Option<(Arc<dyn Tap>, u64)>);
 
-impl TapRef {
+impl StreamTap {
     pub(crate) fn bytes(&self, direction: Direction, bytes: &[u8]) {
         if let Some((tap, stream)) = &self.0 {
             tap.bytes(*stream, direction, bytes);
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// The system gives no further thread.
-pub fn spawn_small(
+pub fn spawn_small_stack(
     name: &str,
     body: impl FnOnce() + Send + 'static,
 ) -> io::Result<std::thread::JoinHandle<()>> {
@@ -75,7 +75,7 @@
 }
 
 /// Whether the system had no descriptor, port, thread or memory in this moment.
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     use Errno as E;
     matches!(
         Errno::from_io_error(error),
@@ -92,11 +92,11 @@
 ///
 /// # Errors
 /// It is refused for another reason, or for too long.
-pub fn get_to_start<T>(mut get: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_startup_shortage<T>(mut get: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let until = Instant::now() + START_WITHIN;
     loop {
         match get() {
-            Err(e) if is_shortage(&e) && Instant::now() < until => std::thread::sleep(START_AGAIN),
+            Err(e) if is_resource_shortage(&e) && Instant::now() < until => std::thread::sleep(START_AGAIN),
             other => return other,
         }
     }
@@ -126,7 +126,7 @@
 }
 
 /// Writes all runs, several in one call.
-pub(crate) fn write_runs(stream: &mut TcpStream, runs: Vec<Bytes>, tap: &TapRef) -> io::Result<()> {
+pub(crate) fn write_runs(stream: &mut TcpStream, runs: Vec<Bytes>, tap: &StreamTap) -> io::Result<()> {
     // Noted before they go: a thread that waits for a core after its write would note a question after its answer.
     runs.iter().for_each(|r| tap.bytes(Direction::Out, r));
     let mut runs: VecDeque<Bytes> = runs.into();
--- a/crates/net/src/write_buffer.rs
+++ b/crates/net/src/write_buffer.rs
@@ -3,7 +3,7 @@
 //! One thread answers all clients and sends to all nodes: none of them may hold it up. What the system does not take at
 //! once is kept, within a bound, and put on by one thread for all.
 
-use crate::stream::{is_momentary, lock, spawn_small};
+use crate::stream::{is_momentary, lock, spawn_small_stack};
 use bytes::{Buf, Bytes};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -23,13 +23,13 @@
 
 /// What waits at a socket to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum PeekResult {
     /// Nothing.
-    Nothing,
+    Empty,
     /// Bytes.
-    Bytes,
+    Data,
     /// Its end: closed or lost.
-    End,
+    Closed,
 }
 
 /// The writing side of a socket.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The socket is lost, or too much waits for it; it is shut.
-    pub fn put(self: &Arc<Self>, bytes: Bytes) -> io::Result<()> {
+    pub fn send(self: &Arc<Self>, bytes: Bytes) -> io::Result<()> {
         let mut kept = lock(&self.kept);
         if kept.lost {
             return Err(io::ErrorKind::NotConnected.into());
@@ -84,7 +84,7 @@
         kept.lost |= most || sent.is_err();
         drop(kept);
         if most || sent.is_err() {
-            self.shut();
+            self.shutdown();
             return sent.and(Err(io::ErrorKind::WriteZero.into()));
         }
         if waits && !late {
@@ -94,17 +94,17 @@
     }
 
     /// Bytes that the system has not taken yet.
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         lock(&self.kept).bytes()
     }
 
     /// Runs of which the last byte has not been taken by the system.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_chunks(&self) -> usize {
         lock(&self.kept).runs.len()
     }
 
     /// Takes back the run that was put before `behind` others, if no byte of it has gone out.
-    pub fn take_back(&self, behind: usize) -> bool {
+    pub fn cancel_unsent(&self, behind: usize) -> bool {
         let mut kept = lock(&self.kept);
         let Some(at) = kept.runs.len().checked_sub(behind + 1) else { return false };
         if at == 0 && kept.begun {
@@ -120,7 +120,7 @@
     pub fn abort(&self) -> usize {
         let mut kept = lock(&self.kept);
         kept.lost = true;
-        self.shut();
+        self.shutdown();
         std::mem::take(&mut kept.runs).len()
     }
 
@@ -144,21 +144,21 @@
     }
 
     /// What waits to be read, without reading it.
-    pub fn waiting(&self) -> Waiting {
+    pub fn peek(&self) -> PeekResult {
         let mut byte = [0u8; 1];
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         match retry_on_intr(|| rustix::net::recv(&self.stream, &mut byte[..], flags)) {
-            Ok((_, 0)) => Waiting::End,
-            Ok(_) => Waiting::Bytes,
-            Err(Errno::AGAIN) => Waiting::Nothing,
+            Ok((_, 0)) => PeekResult::Closed,
+            Ok(_) => PeekResult::Data,
+            Err(Errno::AGAIN) => PeekResult::Empty,
             // Not known: whoever asks must not take it for nothing.
-            Err(e) if is_momentary(e) => Waiting::Bytes,
-            Err(_) => Waiting::End,
+            Err(e) if is_momentary(e) => PeekResult::Data,
+            Err(_) => PeekResult::Closed,
         }
     }
 
     /// Whether the other end sends no more or the connection is lost, whatever waits unread before its end.
-    pub fn has_ended(&self) -> bool {
+    pub fn peer_closed(&self) -> bool {
         let mut sockets = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         let told = retry_on_intr(|| poll(&mut sockets, Some(&at_once)));
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// The socket is lost. 0 bytes: its end.
-    pub fn read_now(&self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         match rustix::net::recv(&self.stream, buffer, RecvFlags::DONTWAIT) {
             Ok((_, n)) => Ok(Some(n)),
             Err(Errno::INTR) => Ok(None),
@@ -179,12 +179,12 @@
     }
 
     /// Ends the sending side: whoever reads at the other end sees an end behind the last byte.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
     /// Ends both directions; whoever reads is woken.
-    pub fn shut(&self) {
+    pub fn shutdown(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
@@ -202,13 +202,13 @@
     /// No thread could be had.
     pub fn start() -> io::Result<Flusher> {
         let (late, came) = bounded(4096);
-        spawn_small("flusher", move || flush(&came))?;
+        spawn_small_stack("flusher", move || flush(&came))?;
         Ok(Flusher { late })
     }
 
     fn watch(&self, write_buffer: &Arc<WriteBuffer>) {
         if self.late.try_send(Arc::downgrade(write_buffer)).is_err() {
-            write_buffer.shut();
+            write_buffer.shutdown();
         }
     }
 }
@@ -236,7 +236,7 @@
             if write_buffer.offer(&mut kept).is_err() {
                 // What is left stays: whoever closes it asks how much never went out.
                 kept.lost = true;
-                write_buffer.shut();
+                write_buffer.shutdown();
             }
             !kept.lost && !kept.runs.is_empty()
         });
@@ -250,11 +250,11 @@
 ///
 /// # Errors
 /// What the system says.
-pub fn long_queue(listener: &TcpListener, connections: i32) -> io::Result<()> {
+pub fn set_accept_backlog(listener: &TcpListener, connections: i32) -> io::Result<()> {
     Ok(rustix::net::listen(listener, connections)?)
 }
 
 /// Takes no more connections; whoever waits to accept one is woken.
-pub fn shut_listener(listener: &TcpListener) {
+pub fn shutdown_listener(listener: &TcpListener) {
     let _ = rustix::net::shutdown(listener, rustix::net::Shutdown::Both);
 }
--- a/crates/net/tests/http_calls.rs
+++ b/crates/net/tests/http_calls.rs
@@ -1,6 +1,6 @@
 //! Calls over HTTP, and the responses that end before they are whole.
 
-use pearfork_net::http::{self, CallError, ResponseFault, ResponseReader};
+use pearfork_net::http::{self, RequestError, ResponseError, ResponseParser};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,8 +8,8 @@
 
 const LONG: Duration = Duration::from_secs(10);
 
-fn all(text: &[u8]) -> Result<Option<(u16, Vec<u8>)>, ResponseFault> {
-    ResponseReader::default().take(text)
+fn all(text: &[u8]) -> Result<Option<(u16, Vec<u8>)>, ResponseError> {
+    ResponseParser::default().feed(text)
 }
 
 /// Whatever pieces it comes in, a response is the same.
@@ -21,39 +21,39 @@
     let interim = [&b"HTTP/1.1 103 Early\r\n\r\n"[..], &told].concat();
     for text in [&told[..], chunked, &interim] {
         for cut in 0..text.len() {
-            let mut reader = ResponseReader::default();
-            assert_eq!(reader.take(&text[..cut]), Ok(None), "{cut}");
-            assert_eq!(reader.take(&text[cut..]), Ok(Some((200, body.to_vec()))), "{cut}");
-            let mut reader = ResponseReader::default();
-            reader.take(&text[..cut]).unwrap();
-            assert!(reader.end().is_err(), "cut off at {cut}");
+            let mut reader = ResponseParser::default();
+            assert_eq!(reader.feed(&text[..cut]), Ok(None), "{cut}");
+            assert_eq!(reader.feed(&text[cut..]), Ok(Some((200, body.to_vec()))), "{cut}");
+            let mut reader = ResponseParser::default();
+            reader.feed(&text[..cut]).unwrap();
+            assert!(reader.finish().is_err(), "cut off at {cut}");
         }
-        let mut reader = ResponseReader::default();
-        let last = text.iter().map(|b| reader.take(&[*b]).unwrap()).last().unwrap();
+        let mut reader = ResponseParser::default();
+        let last = text.iter().map(|b| reader.feed(&[*b]).unwrap()).last().unwrap();
         assert_eq!(last, Some((200, body.to_vec())));
     }
     let open = [&b"HTTP/1.1 200 OK\r\n\r\n"[..], body].concat();
-    let mut reader = ResponseReader::default();
-    assert_eq!(reader.take(&open), Ok(None), "only its end ends it");
-    assert_eq!(reader.end(), Ok((200, body.to_vec())));
+    let mut reader = ResponseParser::default();
+    assert_eq!(reader.feed(&open), Ok(None), "only its end ends it");
+    assert_eq!(reader.finish(), Ok((200, body.to_vec())));
 }
 
 #[test]
 fn lengths_that_make_no_sense_are_refused() {
     let head = |lines: &str| all(format!("HTTP/1.1 200 OK\r\n{lines}\r\n\r\n").as_bytes()).unwrap_err();
     for lines in ["Content-Length: -1", "Content-Length: 1\r\nContent-Length: 2", "Content-Length: x"] {
-        assert_eq!(head(lines), ResponseFault::Length("content-length"), "{lines}");
+        assert_eq!(head(lines), ResponseError::Length("content-length"), "{lines}");
     }
-    assert_eq!(head("Transfer-Encoding: gzip"), ResponseFault::Length("transfer-encoding"));
-    assert_eq!(head("Content-Length: 99999999999"), ResponseFault::TooLong);
+    assert_eq!(head("Transfer-Encoding: gzip"), ResponseError::Length("transfer-encoding"));
+    assert_eq!(head("Content-Length: 99999999999"), ResponseError::TooLong);
     let chunks = |text: &str| {
         all(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{text}").as_bytes()).unwrap_err()
     };
-    assert_eq!(chunks("-1\r\n"), ResponseFault::Length("chunk"));
-    assert_eq!(chunks("ffffffff\r\n"), ResponseFault::TooLong);
-    assert_eq!(chunks("1\r\nabc\r\n"), ResponseFault::Length("chunk"));
+    assert_eq!(chunks("-1\r\n"), ResponseError::Length("chunk"));
+    assert_eq!(chunks("ffffffff\r\n"), ResponseError::TooLong);
+    assert_eq!(chunks("1\r\nabc\r\n"), ResponseError::Length("chunk"));
     let endless = [b"HTTP/1.1 200 OK\r\nX: ".to_vec(), vec![b'x'; 64 * 1024]].concat();
-    assert_eq!(all(&endless), Err(ResponseFault::TooLong));
+    assert_eq!(all(&endless), Err(ResponseError::TooLong));
 }
 
 /// An agent that does this with its first connection, once it has read the request.
@@ -82,7 +82,7 @@
         set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
     });
     let called = http::get(reset, "/x", LONG);
-    assert!(matches!(called, Err(CallError::Socket { .. })), "{called:?}");
+    assert!(matches!(called, Err(RequestError::Socket { .. })), "{called:?}");
     let closed = agent(move |mut stream| stream.write_all(text).unwrap());
     assert_eq!(http::get(closed, "/x", LONG).unwrap(), (200, b"[]".to_vec()));
 }
--- a/crates/scsi/src/cdb.rs
+++ b/crates/scsi/src/cdb.rs
@@ -22,7 +22,7 @@
 
 /// A command that touches the medium.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Media {
+pub struct MediaCommand {
     /// What is done.
     pub op: MediaOp,
     /// First logical block.
@@ -35,29 +35,29 @@
     pub group: u8,
 }
 
-impl Media {
+impl MediaCommand {
     /// Bytes that the initiator sends.
-    pub fn data_out(&self, block: u32) -> u64 {
+    pub fn data_out_length(&self, block_len: u32) -> u64 {
         let blocks = match self.op {
             MediaOp::Write | MediaOp::Verify { compare: true } => u64::from(self.blocks),
             MediaOp::CompareAndWrite => 2 * u64::from(self.blocks),
             _ => 0,
         };
-        blocks * u64::from(block)
+        blocks * u64::from(block_len)
     }
 
     /// Bytes that the initiator receives.
-    pub fn data_in(&self, block: u32) -> u64 {
+    pub fn data_in_length(&self, block_len: u32) -> u64 {
         if self.op == MediaOp::Read {
-            u64::from(self.blocks) * u64::from(block)
+            u64::from(self.blocks) * u64::from(block_len)
         } else {
             0
         }
     }
 
     /// Bytes that move either way.
-    pub fn moves(&self, block: u32) -> u64 {
-        self.data_in(block).max(self.data_out(block))
+    pub fn transfer_length(&self, block_len: u32) -> u64 {
+        self.data_in_length(block_len).max(self.data_out_length(block_len))
     }
 
     /// Whether the blocks may be changed.
@@ -95,50 +95,50 @@
     /// REQUEST SENSE, in descriptor format or fixed.
     RequestSense {
         /// Descriptor format is wanted.
-        descriptor: bool,
+        descriptor_format: bool,
         /// Bytes that the initiator has room for.
-        room: u32,
+        allocation_length: u32,
     },
     /// INQUIRY, of a vital product data page or the standard data.
     Inquiry {
         /// The page, where one is asked for.
         page: Option<u8>,
         /// Room.
-        room: u32,
+        allocation_length: u32,
     },
     /// MODE SENSE.
     ModeSense {
         /// The command of 10 bytes.
-        ten: bool,
+        is_ten_byte: bool,
         /// No block descriptors.
-        no_descriptors: bool,
+        disable_block_descriptors: bool,
         /// Current, changeable, default or saved values.
-        control: u8,
+        page_control: u8,
         /// Page code.
         page: u8,
         /// Subpage code.
         subpage: u8,
         /// Room.
-        room: u32,
+        allocation_length: u32,
     },
     /// START STOP UNIT.
     StartStop,
     /// REPORT LUNS.
     ReportLuns {
         /// SELECT REPORT.
-        select: u8,
+        select_report: u8,
         /// Room.
-        room: u32,
+        allocation_length: u32,
     },
     /// READ CAPACITY (10).
     ReadCapacity10,
     /// READ CAPACITY (16).
     ReadCapacity16 {
         /// Room.
-        room: u32,
+        allocation_length: u32,
     },
     /// A command on blocks.
-    Media(Media),
+    Media(MediaCommand),
 }
 
 fn be16(c: &[u8; 16], at: usize) -> u32 {
@@ -178,7 +178,7 @@
         // RDPROTECT, WRPROTECT, VRPROTECT: no protection information is kept.
         let unprotected = |cdb: Cdb| if c[1] & 0xe0 == 0 { Ok(cdb) } else { Err(Sense::invalid_field(1)) };
         let fua = c[1] & 0x08 != 0;
-        let media = |op, lba, blocks, group| Cdb::Media(Media { op, lba, blocks, fua, group });
+        let media = |op, lba, blocks, group| Cdb::Media(MediaCommand { op, lba, blocks, fua, group });
         let verify = |lba, blocks, group| match c[1] >> 1 & 3 {
             0 => Ok(media(MediaOp::Verify { compare: false }, lba, blocks, group)),
             1 => Ok(media(MediaOp::Verify { compare: true }, lba, blocks, group)),
@@ -187,26 +187,28 @@
         let (g10, g12, g16) = (c[6] & 0x3f, c[10] & 0x3f, c[14] & 0x3f);
         match c[0] {
             0x00 => Ok(Cdb::TestUnitReady),
-            0x03 => Ok(Cdb::RequestSense { descriptor: c[1] & 1 != 0, room: u32::from(c[4]) }),
+            0x03 => {
+                Ok(Cdb::RequestSense { descriptor_format: c[1] & 1 != 0, allocation_length: u32::from(c[4]) })
+            }
             0x08 | 0x0a => {
                 let lba = u64::from(be32(c, 0) & 0x1f_ffff);
                 // Length 0 means 256 blocks in the commands of 6 bytes (SBC-3, section 5.7).
                 let blocks = if c[4] == 0 { 256 } else { u32::from(c[4]) };
                 let op = if c[0] == 0x08 { MediaOp::Read } else { MediaOp::Write };
-                Ok(Cdb::Media(Media { op, lba, blocks, fua: false, group: 0 }))
+                Ok(Cdb::Media(MediaCommand { op, lba, blocks, fua: false, group: 0 }))
             }
             0x12 => match (c[1] & 1 != 0, c[2]) {
-                (false, 0) => Ok(Cdb::Inquiry { page: None, room: be16(c, 3) }),
+                (false, 0) => Ok(Cdb::Inquiry { page: None, allocation_length: be16(c, 3) }),
                 (false, _) => Err(Sense::invalid_field(2)),
-                (true, page) => Ok(Cdb::Inquiry { page: Some(page), room: be16(c, 3) }),
+                (true, page) => Ok(Cdb::Inquiry { page: Some(page), allocation_length: be16(c, 3) }),
             },
             0x1a | 0x5a => Ok(Cdb::ModeSense {
-                ten: c[0] == 0x5a,
-                no_descriptors: c[1] & 0x08 != 0,
-                control: c[2] >> 6,
+                is_ten_byte: c[0] == 0x5a,
+                disable_block_descriptors: c[1] & 0x08 != 0,
+                page_control: c[2] >> 6,
                 page: c[2] & 0x3f,
                 subpage: c[3],
-                room: if c[0] == 0x5a { be16(c, 7) } else { u32::from(c[4]) },
+                allocation_length: if c[0] == 0x5a { be16(c, 7) } else { u32::from(c[4]) },
             }),
             0x1b => Ok(Cdb::StartStop),
             0x25 => match (c[8] & 1, be32(c, 2)) {
@@ -222,9 +224,9 @@
             0x8a => unprotected(media(MediaOp::Write, be64(c, 2), be32(c, 10), g16)),
             0x8f => unprotected(verify(be64(c, 2), be32(c, 10), g16)?),
             0x91 => Ok(media(MediaOp::Flush, be64(c, 2), be32(c, 10), g16)),
-            0x9e if c[1] & 0x1f == 0x10 => Ok(Cdb::ReadCapacity16 { room: be32(c, 10) }),
+            0x9e if c[1] & 0x1f == 0x10 => Ok(Cdb::ReadCapacity16 { allocation_length: be32(c, 10) }),
             0x9e => Err(Sense::invalid_field(1)),
-            0xa0 => Ok(Cdb::ReportLuns { select: c[2], room: be32(c, 6) }),
+            0xa0 => Ok(Cdb::ReportLuns { select_report: c[2], allocation_length: be32(c, 6) }),
             0xa8 => unprotected(media(MediaOp::Read, u64::from(be32(c, 2)), be32(c, 6), g12)),
             0xaa => unprotected(media(MediaOp::Write, u64::from(be32(c, 2)), be32(c, 6), g12)),
             0xaf => unprotected(verify(u64::from(be32(c, 2)), be32(c, 6), g12)?),
@@ -249,7 +251,7 @@
 
     #[test]
     fn protection_naca_and_unknown_codes_are_refused_by_field() {
-        let mut c = Media { op: MediaOp::Read, lba: 1, blocks: 1, fua: false, group: 0 }.to_cdb();
+        let mut c = MediaCommand { op: MediaOp::Read, lba: 1, blocks: 1, fua: false, group: 0 }.to_cdb();
         c[1] |= 0x20;
         assert_eq!(Cdb::parse(&c), Err(Sense::invalid_field(1)));
         (c[1], c[15]) = (0, 4);
@@ -269,7 +271,7 @@
             let op = [MediaOp::Read, MediaOp::Write, MediaOp::Verify { compare: false },
                 MediaOp::Verify { compare: true }, MediaOp::Flush, MediaOp::CompareAndWrite][op];
             let fua = fua && matches!(op, MediaOp::Read | MediaOp::Write | MediaOp::CompareAndWrite);
-            let m = Media { op, lba, blocks, fua, group: 5 };
+            let m = MediaCommand { op, lba, blocks, fua, group: 5 };
             prop_assert_eq!(Cdb::parse(&m.to_cdb()), Ok(Cdb::Media(m)));
         }
     }
--- a/crates/scsi/src/lib.rs
+++ b/crates/scsi/src/lib.rs
@@ -1,16 +1,16 @@
 //! SCSI commands of a block device, without I/O: SAM-5 for status, SPC-4 for the primary commands, SBC-3 for
 //! those of a disk.
 //!
-//! [`Cdb::parse`] turns a CDB into a checked value or the [`Sense`] that answers it; [`Unit::answer`] answers all
-//! commands that need no medium; what remains is a [`Media`] operation whose blocks are known to exist.
+//! [`Cdb::parse`] turns a CDB into a checked value or the [`Sense`] that answers it; [`LogicalUnit::respond`] answers all
+//! commands that need no medium; what remains is a [`MediaCommand`] operation whose blocks are known to exist.
 
 mod cdb;
 mod sense;
 mod unit;
 
-pub use cdb::{Cdb, Media, MediaOp};
+pub use cdb::{Cdb, MediaCommand, MediaOp};
 pub use sense::{Sense, SenseKey};
-pub use unit::{report_luns, Answer, Unit, MAX_TRANSFER_BLOCKS};
+pub use unit::{report_luns, LogicalUnit, UnitResponse, MAX_TRANSFER_BLOCKS};
 
 /// SCSI status codes (SAM-5, section 5.3.1).
 #[allow(missing_docs)]
@@ -24,7 +24,7 @@
 }
 
 /// The LUN field of a unit below 256, or below 16384 by the flat method (SAM-5, section 4.7.7).
-pub fn lun_field(unit: u16) -> u64 {
+pub fn encode_lun(unit: u16) -> u64 {
     if unit < 256 {
         u64::from(unit) << 48
     } else {
@@ -33,7 +33,7 @@
 }
 
 /// The unit that a LUN field names; `None` for methods and levels that are not used here.
-pub fn unit_of(lun: u64) -> Option<u16> {
+pub fn decode_lun(lun: u64) -> Option<u16> {
     let first = (lun >> 48) as u16;
     if lun << 16 != 0 {
         return None;
--- a/crates/scsi/src/sense.rs
+++ b/crates/scsi/src/sense.rs
@@ -25,7 +25,7 @@
     /// Information field: for a miscompare the offset of the first differing byte.
     pub information: Option<u32>,
     /// Byte of the CDB at fault, for an invalid field.
-    pub field: Option<u16>,
+    pub field_pointer: Option<u16>,
 }
 
 #[allow(missing_docs)]
@@ -33,7 +33,7 @@
     pub const INVALID_OPCODE: Sense = Sense::new(SenseKey::IllegalRequest, 0x2000);
     pub const LBA_OUT_OF_RANGE: Sense = Sense::new(SenseKey::IllegalRequest, 0x2100);
     pub const INVALID_FIELD: Sense = Sense::new(SenseKey::IllegalRequest, 0x2400);
-    pub const NO_UNIT: Sense = Sense::new(SenseKey::IllegalRequest, 0x2500);
+    pub const LOGICAL_UNIT_NOT_SUPPORTED: Sense = Sense::new(SenseKey::IllegalRequest, 0x2500);
     pub const SAVING_NOT_SUPPORTED: Sense = Sense::new(SenseKey::IllegalRequest, 0x3900);
     pub const RESET: Sense = Sense::new(SenseKey::UnitAttention, 0x2900);
     pub const WRITE_ERROR: Sense = Sense::new(SenseKey::MediumError, 0x0c00);
@@ -42,12 +42,12 @@
     pub const ABORTED: Sense = Sense::new(SenseKey::AbortedCommand, 0x0000);
 
     const fn new(key: SenseKey, asc: u16) -> Sense {
-        Sense { key, asc, information: None, field: None }
+        Sense { key, asc, information: None, field_pointer: None }
     }
 
     /// An invalid field in the CDB, with the byte at fault.
     pub fn invalid_field(byte: u16) -> Sense {
-        Sense { field: Some(byte), ..Sense::INVALID_FIELD }
+        Sense { field_pointer: Some(byte), ..Sense::INVALID_FIELD }
     }
 
     /// A miscompare at an offset in the data (SBC-3, section 5.2).
@@ -63,7 +63,7 @@
         b[3..7].copy_from_slice(&self.information.unwrap_or(0).to_be_bytes());
         b[7] = 10;
         b[12..14].copy_from_slice(&self.asc.to_be_bytes());
-        if let Some(field) = self.field {
+        if let Some(field) = self.field_pointer {
             // Sense key specific: field pointer into the CDB (section 4.5.2.4.2).
             b[15] = 0xc0;
             b[16..18].copy_from_slice(&field.to_be_bytes());
--- a/crates/scsi/src/unit.rs
+++ b/crates/scsi/src/unit.rs
@@ -1,6 +1,6 @@
 //! A logical unit: its identity and size, and the answers that need no medium.
 
-use crate::cdb::{Cdb, Media, MediaOp};
+use crate::cdb::{Cdb, MediaCommand, MediaOp};
 use crate::sense::Sense;
 
 /// Most blocks of one transfer, told in the block limits page.
@@ -10,7 +10,7 @@
 
 /// A disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unit {
+pub struct LogicalUnit {
     /// Size in blocks, at least 1.
     pub blocks: u64,
     /// Bytes in a block.
@@ -21,94 +21,112 @@
 
 /// What is to be done about a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum UnitResponse {
     /// It is answered: data for the initiator.
     Data(Vec<u8>),
     /// It is answered: CHECK CONDITION.
-    Check(Sense),
+    CheckCondition(Sense),
     /// The medium is needed; the blocks exist and the lengths are within the limits.
-    Media(Media),
+    Media(MediaCommand),
 }
 
-fn cut(mut data: Vec<u8>, room: u32) -> Answer {
-    data.truncate(room as usize);
-    Answer::Data(data)
+fn cut(mut data: Vec<u8>, allocation_length: u32) -> UnitResponse {
+    data.truncate(allocation_length as usize);
+    UnitResponse::Data(data)
 }
 
 /// REPORT LUNS over the units of a target (SPC-4, section 6.33).
-pub fn report_luns(select: u8, room: u32, units: impl Iterator<Item = u16>) -> Answer {
-    if room < 16 {
-        return Answer::Check(Sense::invalid_field(6));
+pub fn report_luns(
+    select_report: u8,
+    allocation_length: u32,
+    units: impl Iterator<Item = u16>,
+) -> UnitResponse {
+    if allocation_length < 16 {
+        return UnitResponse::CheckCondition(Sense::invalid_field(6));
     }
     let mut list = Vec::new();
-    match select {
-        0 | 2 => units.for_each(|u| list.extend_from_slice(&crate::lun_field(u).to_be_bytes())),
+    match select_report {
+        0 | 2 => units.for_each(|u| list.extend_from_slice(&crate::encode_lun(u).to_be_bytes())),
         1 => {} // Well-known units only: there are none.
-        _ => return Answer::Check(Sense::invalid_field(2)),
+        _ => return UnitResponse::CheckCondition(Sense::invalid_field(2)),
     }
     let mut data = (list.len() as u32).to_be_bytes().to_vec();
     data.extend_from_slice(&[0; 4]);
     data.append(&mut list);
-    cut(data, room)
+    cut(data, allocation_length)
 }
 
-impl Unit {
+impl LogicalUnit {
     /// Answers a command, or says what is needed of the medium.
-    pub fn answer(&self, cdb: &Cdb) -> Answer {
+    pub fn respond(&self, cdb: &Cdb) -> UnitResponse {
         match *cdb {
-            Cdb::TestUnitReady | Cdb::StartStop => Answer::Data(Vec::new()),
-            Cdb::RequestSense { descriptor, room } => {
-                let none = if descriptor { vec![0x72, 0, 0, 0, 0, 0, 0, 0] } else { no_sense() };
-                cut(none, room)
+            Cdb::TestUnitReady | Cdb::StartStop => UnitResponse::Data(Vec::new()),
+            Cdb::RequestSense { descriptor_format, allocation_length } => {
+                let none = if descriptor_format { vec![0x72, 0, 0, 0, 0, 0, 0, 0] } else { no_sense() };
+                cut(none, allocation_length)
             }
-            Cdb::Inquiry { page: None, room } => cut(self.inquiry(), room),
-            Cdb::Inquiry { page: Some(page), room } => match self.vital(page) {
+            Cdb::Inquiry { page: None, allocation_length } => cut(self.inquiry(), allocation_length),
+            Cdb::Inquiry { page: Some(page), allocation_length } => match self.vital(page) {
                 Some(body) => {
                     let mut data = vec![0, page];
                     data.extend_from_slice(&(body.len() as u16).to_be_bytes());
                     data.extend(body);
-                    cut(data, room)
+                    cut(data, allocation_length)
                 }
-                None => Answer::Check(Sense::invalid_field(2)),
+                None => UnitResponse::CheckCondition(Sense::invalid_field(2)),
             },
-            Cdb::ModeSense { ten, no_descriptors, control, page, subpage, room } => {
-                self.mode_sense(ten, no_descriptors, control, page, subpage, room)
-            }
+            Cdb::ModeSense {
+                is_ten_byte,
+                disable_block_descriptors,
+                page_control,
+                page,
+                subpage,
+                allocation_length,
+            } => self.mode_sense(
+                is_ten_byte,
+                disable_block_descriptors,
+                page_control,
+                page,
+                subpage,
+                allocation_length,
+            ),
             // The target's; a unit alone knows itself.
-            Cdb::ReportLuns { select, room } => report_luns(select, room, std::iter::once(0)),
+            Cdb::ReportLuns { select_report, allocation_length } => {
+                report_luns(select_report, allocation_length, std::iter::once(0))
+            }
             Cdb::ReadCapacity10 => {
                 let last = u32::try_from(self.blocks - 1).unwrap_or(u32::MAX);
                 let mut data = last.to_be_bytes().to_vec();
                 data.extend_from_slice(&self.block_len.to_be_bytes());
-                Answer::Data(data)
+                UnitResponse::Data(data)
             }
-            Cdb::ReadCapacity16 { room } => {
+            Cdb::ReadCapacity16 { allocation_length } => {
                 let mut data = vec![0; 32];
                 data[..8].copy_from_slice(&(self.blocks - 1).to_be_bytes());
                 data[8..12].copy_from_slice(&self.block_len.to_be_bytes());
-                cut(data, room)
+                cut(data, allocation_length)
             }
             Cdb::Media(media) => self.media(media),
         }
     }
 
-    fn media(&self, mut m: Media) -> Answer {
+    fn media(&self, mut m: MediaCommand) -> UnitResponse {
         if m.lba.checked_add(u64::from(m.blocks)).is_none_or(|end| end > self.blocks) {
-            return Answer::Check(Sense::LBA_OUT_OF_RANGE);
+            return UnitResponse::CheckCondition(Sense::LBA_OUT_OF_RANGE);
         }
         match m.op {
             MediaOp::CompareAndWrite if m.blocks > u32::from(MAX_COMPARE_BLOCKS) => {
-                Answer::Check(Sense::invalid_field(13))
+                UnitResponse::CheckCondition(Sense::invalid_field(13))
             }
             MediaOp::Flush => {
                 // Zero blocks: to the end of the unit (SBC-3, section 5.18).
                 if m.blocks == 0 {
                     m.blocks = u32::try_from(self.blocks - m.lba).unwrap_or(u32::MAX);
                 }
-                Answer::Media(m)
+                UnitResponse::Media(m)
             }
-            _ if m.blocks > MAX_TRANSFER_BLOCKS => Answer::Check(Sense::INVALID_FIELD),
-            _ => Answer::Media(m),
+            _ if m.blocks > MAX_TRANSFER_BLOCKS => UnitResponse::CheckCondition(Sense::INVALID_FIELD),
+            _ => UnitResponse::Media(m),
         }
     }
 
@@ -170,20 +188,20 @@
     /// MODE SENSE (SPC-4, sections 6.13 and 6.14) with the caching and control pages (SBC-3, section 6.5).
     fn mode_sense(
         &self,
-        ten: bool,
-        no_descriptors: bool,
-        control: u8,
+        is_ten_byte: bool,
+        disable_block_descriptors: bool,
+        page_control: u8,
         page: u8,
         subpage: u8,
-        room: u32,
-    ) -> Answer {
-        if control == 3 {
-            return Answer::Check(Sense::SAVING_NOT_SUPPORTED);
+        allocation_length: u32,
+    ) -> UnitResponse {
+        if page_control == 3 {
+            return UnitResponse::CheckCondition(Sense::SAVING_NOT_SUPPORTED);
         }
         if subpage != 0 && subpage != 0xff {
-            return Answer::Check(Sense::invalid_field(3));
+            return UnitResponse::CheckCondition(Sense::invalid_field(3));
         }
-        let current = control != 1;
+        let current = page_control != 1;
         let mut caching = vec![0; 20];
         (caching[0], caching[1]) = (0x08, 18);
         caching[2] = if current { 0x04 } else { 0 }; // WCE: SYNCHRONIZE CACHE is needed
@@ -194,17 +212,17 @@
             0x08 => caching,
             0x0a => own,
             0x3f => [caching, own].concat(),
-            _ => return Answer::Check(Sense::invalid_field(2)),
+            _ => return UnitResponse::CheckCondition(Sense::invalid_field(2)),
         };
         let mut descriptor = Vec::new();
-        if !no_descriptors {
+        if !disable_block_descriptors {
             let blocks = u32::try_from(self.blocks).unwrap_or(u32::MAX);
             descriptor.extend_from_slice(&blocks.to_be_bytes());
             descriptor.extend_from_slice(&self.block_len.to_be_bytes());
         }
         const DPOFUA: u8 = 0x10;
         let rest = descriptor.len() + pages.len();
-        let mut data = if ten {
+        let mut data = if is_ten_byte {
             let mut h = ((rest + 6) as u16).to_be_bytes().to_vec();
             h.extend_from_slice(&[0, DPOFUA, 0, 0, 0, descriptor.len() as u8]);
             h
@@ -213,7 +231,7 @@
         };
         data.extend(descriptor);
         data.extend(pages);
-        cut(data, room)
+        cut(data, allocation_length)
     }
 }
 
@@ -228,57 +246,74 @@
 mod tests {
     use super::*;
 
-    fn unit(blocks: u64) -> Unit {
-        Unit { blocks, block_len: 512, serial: "vol0".to_owned() }
+    fn unit(blocks: u64) -> LogicalUnit {
+        LogicalUnit { blocks, block_len: 512, serial: "vol0".to_owned() }
     }
 
     fn read(lba: u64, blocks: u32) -> Cdb {
-        Cdb::Media(Media { op: MediaOp::Read, lba, blocks, fua: false, group: 0 })
+        Cdb::Media(MediaCommand { op: MediaOp::Read, lba, blocks, fua: false, group: 0 })
     }
 
     #[test]
     fn blocks_past_the_end_are_out_of_range_at_any_size_of_number() {
         let u = unit(100);
-        assert!(matches!(u.answer(&read(99, 1)), Answer::Media(_)));
-        assert!(matches!(u.answer(&read(100, 0)), Answer::Media(_)), "no block at the end is fine");
+        assert!(matches!(u.respond(&read(99, 1)), UnitResponse::Media(_)));
+        assert!(matches!(u.respond(&read(100, 0)), UnitResponse::Media(_)), "no block at the end is fine");
         for (lba, n) in [(99, 2), (100, 1), (101, 0), (u64::MAX, 1), (u64::MAX, 0), (1 << 63, u32::MAX)] {
-            assert_eq!(u.answer(&read(lba, n)), Answer::Check(Sense::LBA_OUT_OF_RANGE), "{lba} {n}");
+            assert_eq!(
+                u.respond(&read(lba, n)),
+                UnitResponse::CheckCondition(Sense::LBA_OUT_OF_RANGE),
+                "{lba} {n}"
+            );
         }
         let big = unit(1 << 40);
-        assert_eq!(big.answer(&read(0, MAX_TRANSFER_BLOCKS + 1)), Answer::Check(Sense::INVALID_FIELD));
+        assert_eq!(
+            big.respond(&read(0, MAX_TRANSFER_BLOCKS + 1)),
+            UnitResponse::CheckCondition(Sense::INVALID_FIELD)
+        );
     }
 
     #[test]
     fn a_large_unit_says_so_in_the_ten_byte_capacity() {
-        let Answer::Data(d) = unit(1 << 40).answer(&Cdb::ReadCapacity10) else { panic!() };
+        let UnitResponse::Data(d) = unit(1 << 40).respond(&Cdb::ReadCapacity10) else { panic!() };
         assert_eq!(d[..4], [0xff; 4]);
-        let Answer::Data(d) = unit(1 << 40).answer(&Cdb::ReadCapacity16 { room: 32 }) else { panic!() };
+        let UnitResponse::Data(d) = unit(1 << 40).respond(&Cdb::ReadCapacity16 { allocation_length: 32 })
+        else {
+            panic!()
+        };
         assert_eq!(d[..8], ((1u64 << 40) - 1).to_be_bytes());
     }
 
     #[test]
     fn every_listed_page_is_there_and_its_length_holds() {
         let u = unit(100);
-        let ask = |page| u.answer(&Cdb::Inquiry { page: Some(page), room: 255 });
-        let Answer::Data(list) = ask(0) else { panic!() };
+        let ask = |page| u.respond(&Cdb::Inquiry { page: Some(page), allocation_length: 255 });
+        let UnitResponse::Data(list) = ask(0) else { panic!() };
         for page in &list[4..] {
-            let Answer::Data(d) = ask(*page) else { panic!("page {page:x}") };
+            let UnitResponse::Data(d) = ask(*page) else { panic!("page {page:x}") };
             assert_eq!((d[1], usize::from(u16::from_be_bytes([d[2], d[3]]))), (*page, d.len() - 4));
         }
-        assert!(matches!(ask(0x99), Answer::Check(_)));
+        assert!(matches!(ask(0x99), UnitResponse::CheckCondition(_)));
     }
 
     #[test]
     fn mode_sense_lengths_hold_and_room_cuts() {
-        for (ten, head, count) in [(false, 1, 36), (true, 2, 40)] {
-            let cdb =
-                |room, page| Cdb::ModeSense { ten, no_descriptors: true, control: 0, page, subpage: 0, room };
-            let Answer::Data(d) = unit(100).answer(&cdb(255, 0x3f)) else { panic!() };
-            let told = if ten { usize::from(u16::from_be_bytes([d[0], d[1]])) } else { usize::from(d[0]) };
+        for (is_ten_byte, head, count) in [(false, 1, 36), (true, 2, 40)] {
+            let cdb = |allocation_length, page| Cdb::ModeSense {
+                is_ten_byte,
+                disable_block_descriptors: true,
+                page_control: 0,
+                page,
+                subpage: 0,
+                allocation_length,
+            };
+            let UnitResponse::Data(d) = unit(100).respond(&cdb(255, 0x3f)) else { panic!() };
+            let told =
+                if is_ten_byte { usize::from(u16::from_be_bytes([d[0], d[1]])) } else { usize::from(d[0]) };
             assert_eq!((told + head, d.len()), (d.len(), count));
-            let Answer::Data(d) = unit(100).answer(&cdb(3, 0x3f)) else { panic!() };
+            let UnitResponse::Data(d) = unit(100).respond(&cdb(3, 0x3f)) else { panic!() };
             assert_eq!(d.len(), 3);
-            assert!(matches!(unit(100).answer(&cdb(255, 0x1c)), Answer::Check(_)));
+            assert!(matches!(unit(100).respond(&cdb(255, 0x1c)), UnitResponse::CheckCondition(_)));
         }
     }
 }
--- a/crates/serving/src/client.rs
+++ b/crates/serving/src/client.rs
@@ -1,7 +1,7 @@
 //! One client connection: answers go out in the order of its commands.
 
 use bytes::Bytes;
-use pearfork_net::{lock, Poller, Waiting, WriteBuffer};
+use pearfork_net::{lock, PeekResult, Poller, WriteBuffer};
 use pearfork_platform::clients::{ClientId, ClientTable};
 use pearfork_platform::request::MAX_VALUE;
 use std::collections::VecDeque;
@@ -85,7 +85,7 @@
 
     /// Whether one more command may be taken; if not, the mailbox is told when it may.
     pub(crate) fn has_room(&self) -> bool {
-        let not_taken = self.write_buffer.kept().div_ceil(MAX_VALUE);
+        let not_taken = self.write_buffer.buffered_bytes().div_ceil(MAX_VALUE);
         let mut slots = lock(&self.slots);
         slots.wants_room = slots.answers.len() >= MOST_OPEN;
         slots.answers.len() + not_taken < MOST_OPEN
@@ -93,7 +93,7 @@
 
     /// Whether answers wait that its client has not taken.
     pub(crate) fn has_unsent(&self) -> bool {
-        self.write_buffer.kept() > 0
+        self.write_buffer.buffered_bytes() > 0
     }
 
     /// A place for the answer to a command.
@@ -114,7 +114,7 @@
             if let Some(Some(bytes)) = slots.answers.pop_front() {
                 slots.first += 1;
                 // A connection that takes nothing is shut, which its reader sees.
-                let _ = self.write_buffer.put(bytes);
+                let _ = self.write_buffer.send(bytes);
             }
         }
         let ended = slots.wants_end && slots.answers.is_empty();
@@ -138,7 +138,7 @@
 
     /// Whether bytes wait to be read.
     pub(crate) fn has_unread(&self) -> bool {
-        self.write_buffer.waiting() == Waiting::Bytes
+        self.write_buffer.peek() == PeekResult::Data
     }
 
     /// The client is gone, or has to go: its connection is over in both directions.
@@ -151,6 +151,6 @@
     /// The socket itself is asked. Danger: the reader of client connections may not have come to this end yet, and its
     /// word stands in the engine's queue behind everything else; an attempt begun meanwhile is begun for nobody.
     pub(crate) fn is_gone(&self) -> bool {
-        self.write_buffer.has_ended()
+        self.write_buffer.peer_closed()
     }
 }
--- a/crates/serving/src/front.rs
+++ b/crates/serving/src/front.rs
@@ -5,7 +5,7 @@
 use crate::pauses::{Pauses, Point};
 use bytes::Bytes;
 use crossbeam_channel::Sender;
-use pearfork_net::{lock, long_queue, Clock, Flusher, Ready, Want, WriteBuffer, MOST_TOLD};
+use pearfork_net::{lock, set_accept_backlog, Clock, Flusher, Interest, Readiness, WriteBuffer, MAX_EVENTS};
 use pearfork_platform::clients::{AfterFault, ClientId, ClientTable};
 use pearfork_platform::config::RequestSchema;
 use pearfork_platform::life::{Effect, Event, Life, State};
@@ -82,7 +82,7 @@
         self.came_after = match before {
             Some(told_at) if ended_at - asked_at < BLOCKED_MS => {
                 // Where so many are told that others may have waited longer, nothing new is known of these.
-                if sockets < MOST_TOLD {
+                if sockets < MAX_EVENTS {
                     told_at
                 } else {
                     self.came_after
@@ -159,9 +159,9 @@
     /// # Errors
     /// What the system says.
     pub(crate) fn open(&self, listener: &TcpListener) -> io::Result<()> {
-        long_queue(listener, QUEUE)?;
+        set_accept_backlog(listener, QUEUE)?;
         listener.set_nonblocking(true)?;
-        self.mailbox.poller.add(listener, LISTENER, Want::Read)
+        self.mailbox.poller.add(listener, LISTENER, Interest::Readable)
     }
 
     /// Runs until told to stop.
@@ -200,7 +200,7 @@
                 self.sweep(now, closing);
             }
         }
-        pearfork_net::shut_listener(listener);
+        pearfork_net::shutdown_listener(listener);
     }
 
     /// When something has to be looked at though nothing comes.
@@ -228,7 +228,7 @@
     fn go_on(&mut self, id: ClientId) {
         self.work(id);
         if self.clients.get(&id).is_some_and(|r| r.life.takes_commands()) {
-            self.ready(Ready { token: id, broken: false, ended: false }, &mut vec![0u8; PIECE]);
+            self.ready(Readiness { token: id, hung_up: false, peer_closed: false }, &mut vec![0u8; PIECE]);
         }
     }
 
@@ -248,7 +248,7 @@
         }
         if self.pause.is_some_and(|until| now >= until) {
             self.pause = None;
-            let _ = self.mailbox.poller.change(listener, LISTENER, Want::Read);
+            let _ = self.mailbox.poller.modify(listener, LISTENER, Interest::Readable);
         }
     }
 
@@ -301,7 +301,7 @@
             return false;
         }
         self.mailbox.poller.remove(listener);
-        pearfork_net::shut_listener(listener);
+        pearfork_net::shutdown_listener(listener);
         true
     }
 
@@ -309,7 +309,7 @@
     fn pause(&mut self, listener: &TcpListener) {
         self.queued_since.get_or_insert(self.arrivals.came_after);
         self.pause = Some(self.clock.now_ms() + NO_ROOM_MS);
-        let _ = self.mailbox.poller.change(listener, LISTENER, Want::Nothing);
+        let _ = self.mailbox.poller.modify(listener, LISTENER, Interest::Hangup);
     }
 
     fn welcome(&mut self, stream: TcpStream) {
@@ -332,7 +332,7 @@
         let _ = stream.set_nodelay(true);
         let write_buffer = WriteBuffer::new(stream, &self.flusher);
         let client = Arc::new(Client::new(id, write_buffer, self.mailbox.clone(), self.table.clone()));
-        if self.mailbox.poller.add(client.write_buffer.stream(), id, Want::Read).is_err() {
+        if self.mailbox.poller.add(client.write_buffer.stream(), id, Interest::Readable).is_err() {
             lock(&self.table).left(id);
             return;
         }
@@ -364,7 +364,7 @@
         while let Some(r) = self.clients.get(&id) {
             match r.life.state() {
                 State::Ending if !r.client.owes() => self.on(id, Event::Answered),
-                State::Flushing(_) if r.client.write_buffer.kept() == 0 => {
+                State::Flushing(_) if r.client.write_buffer.buffered_bytes() == 0 => {
                     lock(&self.table).flushing(id, false);
                     self.on(id, Event::Flushed);
                 }
@@ -387,7 +387,7 @@
         }
         match effect {
             Effect::None => {}
-            Effect::EndSending => r.client.write_buffer.end_sending(),
+            Effect::EndSending => r.client.write_buffer.shutdown_write(),
             Effect::Close => return self.closed(id),
         }
         let life = r.life;
@@ -395,8 +395,8 @@
             r.unread_since.get_or_insert(now);
         }
         if before.reads() != life.reads() {
-            let want = if life.reads() { Want::Read } else { Want::Nothing };
-            let _ = self.mailbox.poller.change(r.client.write_buffer.stream(), id, want);
+            let want = if life.reads() { Interest::Readable } else { Interest::Hangup };
+            let _ = self.mailbox.poller.modify(r.client.write_buffer.stream(), id, want);
         }
         if life.is_ending() || life.state() == State::Full || life.due().is_some() {
             self.timed.insert(id);
@@ -419,17 +419,17 @@
     }
 
     /// Something came on a connection, or it ended.
-    fn ready(&mut self, ready: Ready, piece: &mut [u8]) {
+    fn ready(&mut self, ready: Readiness, piece: &mut [u8]) {
         let id = ready.token;
         let Some(reading) = self.clients.get_mut(&id) else { return };
         if !reading.life.reads() {
             // Danger: an end behind what is not read. Its client has left, and what waits for it would still be sent.
-            if ready.ended {
+            if ready.peer_closed {
                 self.on(id, Event::Gone);
             }
             return;
         }
-        match reading.client.write_buffer.read_now(piece) {
+        match reading.client.write_buffer.try_read(piece) {
             Ok(None) => reading.unread_since = None,
             Ok(Some(0)) | Err(_) => self.on(id, Event::Gone),
             // Danger: a request that crosses our end is sent once more by its client; taken here, it would run twice.
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -6,7 +6,9 @@
 use crossbeam_channel::Sender;
 use pearfork::AttemptResult;
 use pearfork_drive::NodeReport;
-use pearfork_net::{begin_connect, is_shortage, lock, Clock, Flusher, Poller, Waiting, Want, WriteBuffer};
+use pearfork_net::{
+    is_resource_shortage, lock, start_connect, Clock, Flusher, Interest, PeekResult, Poller, WriteBuffer,
+};
 use pearfork_platform::node_reply::{self, Answer};
 use pearfork_platform::pool::LinkId;
 use pearfork_resp::ReplyDecoder;
@@ -50,7 +52,7 @@
     /// this lock alone, so that none can be on the way between the socket and this look.
     pub(crate) fn send(&self, command: Bytes) -> Result<(), Unfit> {
         let mut state = lock(&self.state);
-        if state.over || (state.out == 0 && self.write_buffer.waiting() != Waiting::Nothing) {
+        if state.over || (state.out == 0 && self.write_buffer.peek() != PeekResult::Empty) {
             state.over = true;
             return Err(Unfit);
         }
@@ -59,27 +61,27 @@
         }
         state.out += 1;
         // A write that fails is a lost connection, which its reader tells.
-        let _ = self.write_buffer.put(command);
+        let _ = self.write_buffer.send(command);
         Ok(())
     }
 
     /// Takes a command back of which nothing has gone out, where so many were written behind it.
     pub(crate) fn take_back(&self, behind: usize) -> bool {
         let mut state = lock(&self.state);
-        let back = self.write_buffer.take_back(behind);
+        let back = self.write_buffer.cancel_unsent(behind);
         state.out -= usize::from(back);
         back
     }
 
     /// Whether the last byte of a command has not gone out, where so many were written behind it.
     pub(crate) fn is_unsent(&self, behind: usize) -> bool {
-        self.write_buffer.unsent() > behind
+        self.write_buffer.unsent_chunks() > behind
     }
 
     /// Reads what came: the answers in it, and whether the connection is of further use.
     fn read(&self, piece: &mut [u8], told: &mut Vec<Answer>) -> bool {
         let mut state = lock(&self.state);
-        match self.write_buffer.read_now(piece) {
+        match self.write_buffer.try_read(piece) {
             Ok(None) => return true,
             Ok(Some(0)) | Err(_) => {
                 state.over = true;
@@ -153,11 +155,11 @@
 
     /// Begins to connect; the engine is told what became of it.
     pub(crate) fn open(&self, id: LinkId, address: &SocketAddr) -> Begun {
-        let stream = match begin_connect(address) {
+        let stream = match start_connect(address) {
             Ok(stream) => stream,
             Err(error) => {
                 tracing::debug!(link = id, %address, %error, "no connection");
-                return if is_shortage(&error) { Begun::Later } else { Begun::Refused };
+                return if is_resource_shortage(&error) { Begun::Later } else { Begun::Refused };
             }
         };
         let _ = stream.set_nodelay(true);
@@ -174,7 +176,7 @@
         let write_buffer = WriteBuffer::new(stream, &self.flusher);
         let link = Arc::new(Link { write_buffer, state: Mutex::new(state), clock: self.clock });
         let mut links = lock(&self.links);
-        if let Err(error) = self.poller.add(link.write_buffer.stream(), id, Want::Write) {
+        if let Err(error) = self.poller.add(link.write_buffer.stream(), id, Interest::Writable) {
             tracing::debug!(link = id, %address, %error, "a connection can't be watched");
             return Begun::Later;
         }
@@ -188,7 +190,7 @@
         if let Some(link) = link {
             self.poller.remove(link.write_buffer.stream());
             lock(&link.state).over = true;
-            link.write_buffer.shut();
+            link.write_buffer.shutdown();
         }
     }
 
@@ -230,7 +232,7 @@
     fn came(&self, id: LinkId, link: &Arc<Link>) {
         let stream = link.write_buffer.stream();
         let failed = match stream.take_error() {
-            Ok(None) => self.poller.change(stream, id, Want::Read).err(),
+            Ok(None) => self.poller.modify(stream, id, Interest::Readable).err(),
             Ok(Some(e)) | Err(e) => Some(e),
         };
         if let Some(error) = failed {
--- a/crates/serving/src/service.rs
+++ b/crates/serving/src/service.rs
@@ -8,7 +8,7 @@
 use crate::watch::{Following, Pace, Watcher};
 use crossbeam_channel::{bounded, Sender};
 use pearfork_drive::Driver;
-use pearfork_net::{get_to_start, lock, spawn_small, Clock, Flusher, Poller};
+use pearfork_net::{lock, retry_startup_shortage, spawn_small_stack, Clock, Flusher, Poller};
 use pearfork_platform::clients::{max_client_connections, max_node_connections, ClientTable};
 use pearfork_platform::config::Config;
 use pearfork_platform::pool::Pool;
@@ -113,10 +113,11 @@
         let driver = Driver::new(config.module, config.seed)?;
         let clock = Clock::start();
         // Descriptors first: a host that gets none has begun nothing.
-        let listener = get_to_start(|| TcpListener::bind(address));
+        let listener = retry_startup_shortage(|| TcpListener::bind(address));
         let listener = Arc::new(listener.map_err(|source| ServiceError::Listen { address, source })?);
-        let (node_poller, client_poller) = (get_to_start(Poller::new)?, get_to_start(Poller::new)?);
-        let flusher = get_to_start(Flusher::start)?;
+        let (node_poller, client_poller) =
+            (retry_startup_shortage(Poller::new)?, retry_startup_shortage(Poller::new)?);
+        let flusher = retry_startup_shortage(Flusher::start)?;
         let (engine, messages) = bounded(ENGINE_QUEUE);
         let table = Arc::new(Mutex::new(ClientTable::new(max_client_connections(config.limits.sockets))));
         let pool = Pool::new(config.links, max_node_connections(config.limits.sockets));
@@ -124,14 +125,14 @@
         nodes.pauses = pauses.clone();
         let nodes = Arc::new(nodes);
         let reads = nodes.clone();
-        spawn_small("nodes", move || reads.run())?;
+        spawn_small_stack("nodes", move || reads.run())?;
         let mut running = Engine::new(driver, pool, clock, table.clone(), nodes, config.links.connect_ms);
         running.pauses = pauses.clone();
         running.known(&config.known);
-        spawn_small("engine", move || running.run(&messages))?;
+        spawn_small_stack("engine", move || running.run(&messages))?;
         let discovery = Arc::new(Following::new(config.discovery));
         let watcher = Watcher::new(discovery.clone(), engine.clone(), Pace::within(grace));
-        spawn_small("discovery", move || watcher.run())?;
+        spawn_small_stack("discovery", move || watcher.run())?;
         let (mailbox, leaving) = (Arc::new(Mailbox::new(client_poller)), Arc::new(Leaving::default()));
         let mut front = Front::new(
             mailbox.clone(),
@@ -145,7 +146,7 @@
         front.pauses = pauses;
         front.open(&listener)?;
         let accepting = listener.clone();
-        spawn_small("clients", move || front.run(&accepting))?;
+        spawn_small_stack("clients", move || front.run(&accepting))?;
         tracing::info!(name = config.name, %address, "host listens");
         let longest = Duration::from_secs_f64(longest / 1_000.0);
         Ok(Service { listener, engine, mailbox, table, discovery, leaving, longest })
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -162,7 +162,7 @@
             Some(seq) => format!("/discovery/hosts?since={seq}&timeout_ms={}", wait.as_millis()),
         };
         let up = |stream: &TcpStream| self.following.begins(address, stream);
-        let (status, body) = http::get_while(address, &path, longest, up).map_err(|e| e.to_string())?;
+        let (status, body) = http::get_cancellable(address, &path, longest, up).map_err(|e| e.to_string())?;
         if status != 200 {
             return Err(format!("{address}: status {status}"));
         }
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in node, a stand-in discovery and a client, on loopback.
 
 use bytes::{Bytes, BytesMut};
-use pearfork_net::http::{Answer, Server};
+use pearfork_net::http::{Response, Server};
 use pearfork_platform::config::Config;
 use pearfork_resp::{write, Command, CommandDecoder, CommandLimits, Reply, ReplyDecoder, ReplyLimits};
 use pearfork_serving::Service;
@@ -96,9 +96,9 @@
     let answer = move |path: &str| {
         if path.contains(&known) {
             std::thread::sleep(Duration::from_millis(100));
-            return Answer::ok("application/json", none.clone());
+            return Response::ok("application/json", none.clone());
         }
-        Answer::ok("application/json", whole.clone())
+        Response::ok("application/json", whole.clone())
     };
     Server::start(TcpListener::bind("127.0.0.1:0").unwrap(), answer).unwrap()
 }
--- a/crates/stand/src/client.rs
+++ b/crates/stand/src/client.rs
@@ -2,10 +2,10 @@
 
 use crate::recorder::Recorder;
 use hdrhistogram::Histogram;
-use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
-use pearfork_net::{lock, spawn_small, Connection, ConnectionEvent, TapRef, Token};
+use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
+use pearfork_net::{lock, spawn_small_stack, CommandToken, Connection, ConnectionEvent, StreamTap};
 use pearfork_rulecheck::Place;
-use pearfork_scsi::{lun_field, status, Media, MediaOp};
+use pearfork_scsi::{encode_lun, status, MediaCommand, MediaOp};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -106,13 +106,13 @@
 
 #[derive(Clone, Debug)]
 struct Ask {
-    media: Media,
+    media: MediaCommand,
     stamp: u64,
     began: Instant,
     tries_left: u32,
 }
 
-impl Token for Ask {}
+impl CommandToken for Ask {}
 
 #[derive(Default)]
 struct State {
@@ -155,7 +155,7 @@
             stamp: AtomicU64::new(1),
         });
         let running = inner.clone();
-        let thread = spawn_small("client", move || running.run())?;
+        let thread = spawn_small_stack("client", move || running.run())?;
         Ok(Client { inner, thread: Some(thread) })
     }
 
@@ -268,7 +268,7 @@
             spec.host.1,
             config,
             Duration::from_secs(2),
-            TapRef(tap.map(|t| (t, 0))),
+            StreamTap(tap.map(|t| (t, 0))),
             events,
         );
         *held = opened.inspect_err(|e| tracing::debug!(client = spec.name, error = %e, "no login")).ok();
@@ -304,7 +304,7 @@
         }
         (lba..lba + u64::from(blocks)).for_each(|b| state.blocks.entry(b).or_default().busy = true);
         let stamp = self.stamp.fetch_add(1, Ordering::SeqCst);
-        let media = Media { op, lba, blocks, fua: false, group: 0 };
+        let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
         Some(Ask { media, stamp, began: Instant::now(), tries_left: spec.retries })
     }
 
@@ -332,11 +332,11 @@
             _ => Payload::new(),
         };
         let command = Command {
-            lun: lun_field(self.spec.lun),
+            lun: encode_lun(self.spec.lun),
             cdb: m.to_cdb(),
-            read_len: m.data_in(self.spec.block) as u32,
+            read_len: m.data_in_length(self.spec.block) as u32,
             data,
-            ext: None,
+            metadata: None,
         };
         lock(&self.state).tally.sent += 1;
         if let Err(ask) = connection.submit(ask, command) {
@@ -349,7 +349,7 @@
 
     fn on_event(&self, event: ConnectionEvent<Ask>) {
         match event {
-            ConnectionEvent::Done(ask, done) => self.done(ask, &done),
+            ConnectionEvent::Completed(ask, done) => self.done(ask, &done),
             ConnectionEvent::Aborted(ask) => lock(&self.state).lost(&ask),
             ConnectionEvent::LogoutRequested => {}
             ConnectionEvent::Closed(_, sent, unsent) => {
@@ -362,7 +362,7 @@
         }
     }
 
-    fn done(&self, mut ask: Ask, done: &CommandDone) {
+    fn done(&self, mut ask: Ask, done: &CommandCompletion) {
         let mut state = lock(&self.state);
         match done.status {
             status::GOOD => {
@@ -419,7 +419,7 @@
 }
 
 impl State {
-    fn release(&mut self, media: &Media) {
+    fn release(&mut self, media: &MediaCommand) {
         for b in media.lba..media.lba + u64::from(media.blocks) {
             self.blocks.entry(b).or_default().busy = false;
         }
--- a/crates/stand/src/directory.rs
+++ b/crates/stand/src/directory.rs
@@ -1,7 +1,7 @@
 //! A stand-in directory: the node list over HTTP, by revision, seconds late if told so.
 
 use crate::recorder::Recorder;
-use pearfork_net::http::{query, Answer, Server};
+use pearfork_net::http::{query_parameter, Response, Server};
 use pearfork_rulecheck::What;
 use serde_json::json;
 use std::io;
@@ -81,21 +81,21 @@
         lines.iter().take_while(|l| l.visible <= now).cloned().collect()
     }
 
-    fn answer(&self, path: &str, recorder: &Recorder) -> Answer {
+    fn answer(&self, path: &str, recorder: &Recorder) -> Response {
         if self.down.load(Ordering::SeqCst) {
-            return Answer::error(503, "down by script");
+            return Response::error(503, "down by script");
         }
         if !path.starts_with("/nodes") {
-            return Answer::error(404, "there is /nodes");
+            return Response::error(404, "there is /nodes");
         }
-        let number = |key| query(path, key).and_then(|v| v.parse::<u64>().ok());
+        let number = |key| query_parameter(path, key).and_then(|v| v.parse::<u64>().ok());
         let after = number("after").unwrap_or(0) as usize;
         let until = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0).min(10_000));
         let mut lines = self.visible();
         while lines.len() == after && after > 0 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
             if self.down.load(Ordering::SeqCst) {
-                return Answer::error(503, "down by script");
+                return Response::error(503, "down by script");
             }
             lines = self.visible();
         }
@@ -120,6 +120,6 @@
             }
         }
         let body = json!({"revision": lines.len(), "full": full, "nodes": nodes});
-        Answer::ok("application/json", body.to_string())
+        Response::ok("application/json", body.to_string())
     }
 }
--- a/crates/stand/src/node.rs
+++ b/crates/stand/src/node.rs
@@ -2,12 +2,12 @@
 
 use crate::recorder::Recorder;
 use crate::store::{Rack, ShardStore};
-use pearfork_iscsi::ext::{RepeatKey, Report};
-use pearfork_iscsi::{Access, Limits, LoginStatus, Payload, Response, ScsiCommand, TaskTag};
-use pearfork_net::{lock, spawn_small, Portal, PortalConfig, Service, Session, SessionId};
+use pearfork_iscsi::node_extension::{IdempotencyKey, LoadReport};
+use pearfork_iscsi::{AccessControl, Limits, LoginStatus, Payload, Response, ScsiCommand, TaskTag};
+use pearfork_net::{lock, spawn_small_stack, Portal, PortalConfig, Session, SessionHandler, SessionId};
 use pearfork_rulecheck::wire::op;
 use pearfork_rulecheck::{Place, What};
-use pearfork_scsi::{status, unit_of, Cdb, Media, MediaOp, Sense};
+use pearfork_scsi::{decode_lun, status, Cdb, MediaCommand, MediaOp, Sense};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -94,7 +94,7 @@
 struct Job {
     session: Arc<Session>,
     command: ScsiCommand,
-    media: Media,
+    media: MediaCommand,
     volume: u32,
     units: f64,
 }
@@ -152,16 +152,16 @@
 
 struct Open;
 
-impl Access for Open {
+impl AccessControl for Open {
     fn targets(&self, _: &str) -> Vec<(String, String)> {
         Vec::new()
     }
 
-    fn admit(&self, _: &str, _: &str) -> Result<(), LoginStatus> {
+    fn authorize_login(&self, _: &str, _: &str) -> Result<(), LoginStatus> {
         Ok(())
     }
 
-    fn extension(&self) -> bool {
+    fn extension_enabled(&self) -> bool {
         true
     }
 }
@@ -274,17 +274,17 @@
         });
         let config = PortalConfig {
             access: Arc::new(Open),
-            limits: Limits { commands: 256, transfer: 4 << 20 },
-            sessions: 1024,
-            unread: 16 << 20,
-            first_handle: 0,
+            limits: Limits { max_commands: 256, max_transfer_bytes: 4 << 20 },
+            max_sessions: 1024,
+            max_unsent_bytes: 16 << 20,
+            first_tsih: 0,
             tap,
         };
         let portal = Portal::start(listener, config, Arc::new(Served(life.clone())))?;
         *lock(&life.portal) = Some(portal);
         for _ in 0..self.spec.cores.max(1) {
             let life = life.clone();
-            spawn_small("node-core", move || life.work())?;
+            spawn_small_stack("node-core", move || life.work())?;
         }
         *lock(&self.life) = Some((life, address, started_ms));
         Ok(())
@@ -307,7 +307,7 @@
         lock(&self.queue).jobs.clear();
         self.more.notify_all();
         if let Some(portal) = lock(&self.portal).take() {
-            portal.kill();
+            portal.close_all();
         }
     }
 
@@ -336,15 +336,15 @@
         sent > bears.max(self.spec.cold_units)
     }
 
-    fn report(&self, q: &mut Queue, volume: u32, host: Option<u16>) -> Report {
+    fn report(&self, q: &mut Queue, volume: u32, host: Option<u16>) -> LoadReport {
         let all = q.used.get(&volume).copied().unwrap_or(0.0);
         let told = host.and_then(|h| q.told.insert((volume, h), all)).unwrap_or(all);
-        Report {
-            queue: q.jobs.len() as u32,
+        LoadReport {
+            queued: q.jobs.len() as u32,
             in_flight: (q.jobs.len() + q.busy) as u32,
             service_us: q.service_us as u32,
-            util_milli: (q.busy * 1_000 / usize::from(self.spec.cores.max(1))) as u16,
-            foreign_milli_units: ((all - told).max(0.0) * 1_000.0) as u32,
+            utilization_milli: (q.busy * 1_000 / usize::from(self.spec.cores.max(1))) as u16,
+            other_hosts_milli_units: ((all - told).max(0.0) * 1_000.0) as u32,
             used_percent: u16::MAX,
         }
     }
@@ -407,7 +407,7 @@
         if self.switches.stopped.load(Ordering::SeqCst) {
             return;
         }
-        let key = job.command.ext.map(|t| t.key);
+        let key = job.command.metadata.map(|t| t.key);
         let result = self.apply(&job, key);
         let mut q = lock(&self.queue);
         q.busy -= 1;
@@ -422,7 +422,7 @@
         drop(q);
         let response = match result {
             Ok(data) => {
-                let full_length = job.command.expected.into();
+                let full_length = job.command.expected_length.into();
                 Response { data, full_length, report: Some(report), ..Default::default() }
             }
             Err(sense) => Response {
@@ -435,10 +435,10 @@
         job.session.respond(job.command.tag, response);
     }
 
-    fn apply(&self, job: &Job, key: Option<RepeatKey>) -> Result<Payload, Sense> {
+    fn apply(&self, job: &Job, key: Option<IdempotencyKey>) -> Result<Payload, Sense> {
         // A node is not told of block sizes: they follow from the bytes that the command says it moves.
-        let blocks_moved = job.media.moves(1);
-        let block = u64::from(job.command.expected).checked_div(blocks_moved).unwrap_or(0) as u32;
+        let blocks_moved = job.media.transfer_length(1);
+        let block = u64::from(job.command.expected_length).checked_div(blocks_moved).unwrap_or(0) as u32;
         if !job.media.is_write() {
             return self.store.carry_out(job.volume, &job.media, block, &job.command.data);
         }
@@ -450,7 +450,7 @@
             }
             self.recorder.note(What::Applied {
                 node: self.spec.id,
-                key: (key.host, key.boot, key.session, key.command, key.part),
+                key: (key.host, key.host_start_s, key.session, key.cmd_sn, key.part),
             });
         }
         if self.switches.loses_writes.load(Ordering::SeqCst) && job.media.op == MediaOp::Write {
@@ -462,7 +462,7 @@
 
 struct Served(Arc<Life>);
 
-impl Service for Served {
+impl SessionHandler for Served {
     fn logged_in(&self, _: &Arc<Session>, _: &str, _: Option<&str>) -> Result<(), LoginStatus> {
         Ok(())
     }
@@ -478,8 +478,9 @@
                 return session.respond(command.tag, response);
             }
         };
-        let volume = command.ext.map_or_else(|| u32::from(unit_of(command.lun).unwrap_or(0)), |t| t.volume);
-        let units = command.ext.map_or(1.0, |t| f64::from(t.milli_units) / 1_000.0);
+        let volume =
+            command.metadata.map_or_else(|| u32::from(decode_lun(command.lun).unwrap_or(0)), |t| t.volume);
+        let units = command.metadata.map_or(1.0, |t| f64::from(t.milli_units) / 1_000.0);
         let mut q = lock(&life.queue);
         if life.falls(&mut q, units) {
             drop(q);
@@ -490,7 +491,7 @@
         let full =
             q.jobs.len() >= usize::from(life.spec.waiting) || life.switches.turns_away.load(Ordering::SeqCst);
         if full {
-            let host = command.ext.map(|t| t.key.host);
+            let host = command.metadata.map(|t| t.key.host);
             let report = Some(life.report(&mut q, volume, host));
             drop(q);
             let response = Response { status: status::TASK_SET_FULL, report, ..Default::default() };
--- a/crates/stand/src/store.rs
+++ b/crates/stand/src/store.rs
@@ -1,8 +1,8 @@
 //! Blocks, which outlive a node's process, and a rack's memory of keys.
 
-use pearfork_iscsi::ext::RepeatKey;
+use pearfork_iscsi::node_extension::IdempotencyKey;
 use pearfork_iscsi::Payload;
-use pearfork_scsi::{Media, MediaOp, Sense};
+use pearfork_scsi::{MediaCommand, MediaOp, Sense};
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     pub fn carry_out(
         &self,
         volume: u32,
-        media: &Media,
+        media: &MediaCommand,
         block: u32,
         data: &Payload,
     ) -> Result<Payload, Sense> {
@@ -79,7 +79,7 @@
 
 fn write(pages: &mut Pages, volume: u32, at: u64, data: &Payload) {
     let mut done = 0;
-    for piece in data.pieces() {
+    for piece in data.chunks() {
         let mut taken = 0;
         for (page, offset, n) in pieces(at + done as u64, piece.len()) {
             let p = pages.entry((volume, page)).or_insert_with(|| vec![0; PAGE].into());
@@ -93,7 +93,7 @@
 /// What the nodes of a rack remember together: keys of writes, for a window after the first of each.
 pub struct Rack {
     window: Duration,
-    seen: Mutex<HashMap<RepeatKey, Instant>>,
+    seen: Mutex<HashMap<IdempotencyKey, Instant>>,
 }
 
 impl Rack {
@@ -103,7 +103,7 @@
     }
 
     /// Whether the effect of a key is to take place: not when it did within the window.
-    pub(crate) fn admits(&self, key: RepeatKey) -> bool {
+    pub(crate) fn admits(&self, key: IdempotencyKey) -> bool {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         if seen.len() > 65_536 {
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -2,7 +2,7 @@
 //!
 //! It knows of the talk only where messages begin and end: four bytes of length, four of checksum, the body.
 
-use pearfork_net::{lock, spawn_small};
+use pearfork_net::{lock, spawn_small_stack};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
@@ -87,7 +87,7 @@
         let inner =
             Arc::new(Inner { there, faults: Default::default(), pairs: Mutex::default(), over, seed });
         let accepting = inner.clone();
-        spawn_small("relay", move || {
+        spawn_small_stack("relay", move || {
             for socket in listener.incoming() {
                 if accepting.over.load(Ordering::SeqCst) {
                     return;
@@ -150,7 +150,7 @@
                 draws: Pcg64Mcg::new(u128::from(self.seed) << 1 | direction as u128 | 1),
                 repeats: VecDeque::new(),
             };
-            let spawned = spawn_small("relay-side", move || {
+            let spawned = spawn_small_stack("relay-side", move || {
                 let _ = forwarder.run();
                 forwarder.pair.shut();
                 lock(&forwarder.inner.pairs).retain(|p| !Arc::ptr_eq(p, &forwarder.pair));
