--- a/crates/gateway/benches/harness/mod.rs
+++ b/crates/gateway/benches/harness/mod.rs
@@ -4,8 +4,8 @@
 use hdrhistogram::Histogram;
 use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::{Command, InitiatorConfig, Payload};
-use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
-use pearfork_scsi::{Media, MediaOp};
+use pearfork_net::{CommandToken, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{MediaCommand, MediaOp};
 use pearfork_stand::{Fleet, FleetSpec, Recorder};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -16,7 +16,7 @@
 /// When a command was due; its latency is counted from there.
 pub struct DueAt(pub Instant);
 
-impl Token for DueAt {}
+impl CommandToken for DueAt {}
 
 /// What a load came to; a command that completed with a status other than GOOD counts as not served.
 pub struct LoadResult {
@@ -59,7 +59,7 @@
         extension: false,
     };
     let connection: Arc<Connection<DueAt>> =
-        Connection::open(address, config, Duration::from_secs(5), TapRef::default(), move |e| {
+        Connection::open(address, config, Duration::from_secs(5), StreamTap::default(), move |e| {
             drop(sender.send(e))
         })
         .expect("a login");
@@ -84,13 +84,13 @@
         if is_next_due {
             let lba =
                 sent * 6_151 % 1_000 * u64::from(blocks) % 120_000 / u64::from(blocks) * u64::from(blocks);
-            let media = Media { op, lba, blocks, fua: false, group: 0 };
+            let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
             let command = Command {
                 lun: 0,
                 cdb: media.to_cdb(),
-                read_len: media.data_in(512) as u32,
+                read_len: media.data_in_length(512) as u32,
                 data: data.clone(),
-                ext: None,
+                metadata: None,
             };
             if connection.submit(DueAt(due.unwrap_or_else(Instant::now)), command).is_err() {
                 break;
@@ -103,7 +103,7 @@
             None => Duration::from_secs(5),
         };
         match events.recv_timeout(wait) {
-            Ok(ConnectionEvent::Done(due, done)) => {
+            Ok(ConnectionEvent::Completed(due, done)) => {
                 in_flight -= 1;
                 if done.status == 0 {
                     result.served += 1;
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -9,7 +9,7 @@
 use pearfork::{AttemptOutcome, AttemptResult, Event, ListKind, NodeEntry, Request, Scheduler};
 use pearfork_host::settings::HostSettings;
 use pearfork_iscsi::InitiatorConfig;
-use pearfork_net::{Connection, TapRef};
+use pearfork_net::{Connection, StreamTap};
 use pearfork_scsi::MediaOp;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -183,7 +183,7 @@
                 gateway.address,
                 config,
                 Duration::from_secs(5),
-                TapRef::default(),
+                StreamTap::default(),
                 |_| {},
             )
             .expect("a login")
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -4,7 +4,7 @@
 //! would see a closed channel: the host would shut down without a signal, or ignore later ones.
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use pearfork_net::get_to_start;
+use pearfork_net::retry_startup_shortage;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::backend::SignalDelivery;
 use signal_hook::iterator::exfiltrator::SignalOnly;
@@ -27,7 +27,7 @@
 /// # Errors
 /// The system grants no descriptor or thread.
 pub fn watch() -> io::Result<Receiver<i32>> {
-    let mut signals = get_to_start(register)?;
+    let mut signals = retry_startup_shortage(register)?;
     let (sender, receiver) = bounded(QUEUE_CAPACITY);
     std::thread::Builder::new()
         .name("signals".to_owned())
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,10 +4,10 @@
 use pearfork_day::{figures, judge_notes};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
-use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
-use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
+use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
+use pearfork_net::{CommandToken, Connection, ConnectionEvent, StreamTap};
 use pearfork_rulecheck::{Place, Report, What};
-use pearfork_scsi::{lun_field, Media, MediaOp};
+use pearfork_scsi::{encode_lun, MediaCommand, MediaOp};
 use pearfork_stand::{Fleet, FleetSpec, Recorder};
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver};
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CommandId(pub u32);
 
-impl Token for CommandId {}
+impl CommandToken for CommandId {}
 
 /// An initiator with one session.
 pub struct TestInitiator {
@@ -141,21 +141,21 @@
         };
         let tap = recorder.tap(Place::Client { host }, |_, _, _| {}).map(|t| (t, 0));
         let on_event = move |e| drop(sender.send(e));
-        let connection = Connection::open(address, config, TIMEOUT, TapRef(tap), on_event)?;
+        let connection = Connection::open(address, config, TIMEOUT, StreamTap(tap), on_event)?;
         Ok(TestInitiator { connection, events, lun: volume.lun, next_id: std::cell::Cell::new(1) })
     }
 
     /// Sends a command without waiting for its completion.
     pub fn submit(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandId {
-        let media = Media { op, lba, blocks, fua: false, group: 0 };
+        let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
         let id = CommandId(self.next_id.get());
         self.next_id.set(id.0 + 1);
         let command = Command {
-            lun: lun_field(self.lun),
+            lun: encode_lun(self.lun),
             cdb: media.to_cdb(),
-            read_len: media.data_in(512) as u32,
+            read_len: media.data_in_length(512) as u32,
             data: Payload::from(data),
-            ext: None,
+            metadata: None,
         };
         self.connection.submit(id, command).expect("an open session");
         id
@@ -166,31 +166,31 @@
     }
 
     /// Waits for the next command that completes.
-    pub fn next_completion(&self) -> (CommandId, CommandDone) {
+    pub fn next_completion(&self) -> (CommandId, CommandCompletion) {
         match self.next_event() {
-            ConnectionEvent::Done(id, done) => (id, *done),
+            ConnectionEvent::Completed(id, done) => (id, *done),
             other => panic!("{other:?}"),
         }
     }
 
     /// Sends a command and waits for its completion.
-    pub fn execute(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandDone {
+    pub fn execute(&self, op: MediaOp, lba: u64, blocks: u32, data: Vec<u8>) -> CommandCompletion {
         let id = self.submit(op, lba, blocks, data);
         let (completed, done) = self.next_completion();
         assert_eq!(completed, id);
         done
     }
 
-    pub fn write(&self, lba: u64, blocks: u32, fill: u8) -> CommandDone {
+    pub fn write(&self, lba: u64, blocks: u32, fill: u8) -> CommandCompletion {
         self.execute(MediaOp::Write, lba, blocks, vec![fill; blocks as usize * 512])
     }
 
-    pub fn read(&self, lba: u64, blocks: u32) -> CommandDone {
+    pub fn read(&self, lba: u64, blocks: u32) -> CommandCompletion {
         self.execute(MediaOp::Read, lba, blocks, Vec::new())
     }
 }
 
 /// Status and sense key; 0 without sense data.
-pub fn status_and_sense(done: &CommandDone) -> (u8, u8) {
+pub fn status_and_sense(done: &CommandCompletion) -> (u8, u8) {
     (done.status, pearfork_scsi::Sense::key_and_code(&done.sense).map_or(0, |k| k.0))
 }
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -190,7 +190,7 @@
         std::thread::sleep(std::time::Duration::from_micros(n * 100 % 4_000));
         initiator.connection.abort(|t| *t == id);
         match initiator.next_event() {
-            ConnectionEvent::Done(..) => completed_and_aborted[0] += 1,
+            ConnectionEvent::Completed(..) => completed_and_aborted[0] += 1,
             ConnectionEvent::Aborted(_) => completed_and_aborted[1] += 1,
             other => panic!("{other:?}"),
         }
@@ -301,7 +301,7 @@
     let mut completed = 0;
     loop {
         match initiator.next_event() {
-            ConnectionEvent::Done(..) => completed += 1,
+            ConnectionEvent::Completed(..) => completed += 1,
             ConnectionEvent::Closed(..) => break,
             _ => {}
         }
--- a/crates/gateway/tests/iscsi_sessions.rs
+++ b/crates/gateway/tests/iscsi_sessions.rs
@@ -4,8 +4,8 @@
 mod common;
 use common::*;
 use pearfork_iscsi::{InitiatorConfig, InitiatorError, LoginStatus};
-use pearfork_net::{ConnectError, Connection, ConnectionEvent, TapRef};
-use pearfork_scsi::{lun_field, status, Media, MediaOp, SenseKey};
+use pearfork_net::{ConnectError, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{encode_lun, status, MediaCommand, MediaOp, SenseKey};
 use pearfork_stand::FleetSpec;
 
 /// Settings without a keyed class and without the protocol extension toward nodes.
@@ -44,7 +44,7 @@
             digests: true,
             extension: false,
         };
-        Connection::<CommandId>::open(env.hosts[0].address(), config, TIMEOUT, TapRef::default(), |_| {})
+        Connection::<CommandId>::open(env.hosts[0].address(), config, TIMEOUT, StreamTap::default(), |_| {})
     };
     let login_error = |r: Result<_, ConnectError>| match r {
         Err(ConnectError::Login { source: InitiatorError::Login(status), .. }) => status,
@@ -70,14 +70,19 @@
     };
     let on_event = move |e: ConnectionEvent<CommandId>| drop(sender.send(e));
     let connection =
-        Connection::open(env.hosts[0].address(), config, TIMEOUT, TapRef::default(), on_event).unwrap();
+        Connection::open(env.hosts[0].address(), config, TIMEOUT, StreamTap::default(), on_event).unwrap();
     for (op, data) in [(MediaOp::Write, vec![8u8; 300 * 512]), (MediaOp::Read, Vec::new())] {
-        let media = Media { op, lba: 5, blocks: 300, fua: false, group: 0 };
-        let read_len = media.data_in(512) as u32;
-        let command =
-            pearfork_iscsi::Command { lun: 0, cdb: media.to_cdb(), read_len, data: data.into(), ext: None };
+        let media = MediaCommand { op, lba: 5, blocks: 300, fua: false, group: 0 };
+        let read_len = media.data_in_length(512) as u32;
+        let command = pearfork_iscsi::Command {
+            lun: 0,
+            cdb: media.to_cdb(),
+            read_len,
+            data: data.into(),
+            metadata: None,
+        };
         connection.submit(CommandId(1), command).map_err(|_| "not sent").unwrap();
-        let Ok(ConnectionEvent::Done(_, done)) = events.recv_timeout(TIMEOUT) else {
+        let Ok(ConnectionEvent::Completed(_, done)) = events.recv_timeout(TIMEOUT) else {
             panic!("no completion")
         };
         assert_eq!((done.status, done.data.len()), (status::GOOD, read_len as usize));
@@ -95,7 +100,7 @@
     wait_until("the read at the host", || {
         env.hosts[0].class_counts().unwrap().iter().map(|c| c.taken).sum::<u64>() == 1
     });
-    resetting.connection.manage(5, lun_field(0));
+    resetting.connection.send_task_management(5, encode_lun(0));
     wait_until("the read to be abandoned", || {
         env.hosts[0].class_counts().unwrap().iter().map(|c| c.abandoned).sum::<u64>() == 1
     });
--- a/crates/gateway/tests/service_harness/mod.rs
+++ b/crates/gateway/tests/service_harness/mod.rs
@@ -6,7 +6,7 @@
 pub mod idle_clients;
 pub mod shims;
 
-use pearfork_net::http::{Answer, Server};
+use pearfork_net::http::{Response, Server};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -279,9 +279,9 @@
         let (seq, list) = list.lock().unwrap().clone();
         if path.contains(&format!("since={seq}&")) {
             std::thread::sleep(Duration::from_millis(50));
-            return Answer::ok("application/json", format!(r#"{{"seq":{seq},"whole":false,"hosts":[]}}"#));
+            return Response::ok("application/json", format!(r#"{{"seq":{seq},"whole":false,"hosts":[]}}"#));
         }
-        Answer::ok("application/json", list)
+        Response::ok("application/json", list)
     };
     Server::start(TcpListener::bind("127.0.0.1:0").unwrap(), respond).unwrap()
 }
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -12,9 +12,9 @@
 use pearfork::{AttemptResult, Event, ListKind, NodeEntry, Reason, Request};
 pub use pearfork_drive::AttemptId;
 use pearfork_drive::{Driver, NodeReport, Step};
-use pearfork_iscsi::ext::{RepeatKey, Report, Tag};
+use pearfork_iscsi::node_extension::{CommandMetadata, IdempotencyKey, LoadReport};
 use pearfork_iscsi::Payload;
-use pearfork_scsi::Media;
+use pearfork_scsi::MediaCommand;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     /// The volume.
     pub volume: VolumeId,
     /// The operation and its blocks.
-    pub media: Media,
+    pub media: MediaCommand,
     /// Name of the initiator, for the matching rules.
     pub initiator: Arc<str>,
     /// Data from the client.
@@ -81,13 +81,13 @@
     /// The volume; its position is the LUN at the node.
     pub volume: VolumeId,
     /// The operation and its blocks.
-    pub media: Media,
+    pub media: MediaCommand,
     /// Bytes in a block.
     pub block_len: u32,
     /// Data for the node.
     pub data: Payload,
     /// Repeat key, attempt number and cost.
-    pub tag: Tag,
+    pub tag: CommandMetadata,
     /// Cleared once the attempt has ended for the host: it must not be sent any more.
     pub wanted: Arc<AtomicBool>,
     /// The attempt must not be sent from this time on, in milliseconds of the dispatcher's clock; infinite for
@@ -124,7 +124,7 @@
     /// A client's session has closed.
     SessionClosed(u64),
     /// An attempt ended; with the node's report, if it sent one.
-    AttemptEnded(AttemptId, AttemptEnd, Option<Report>),
+    AttemptEnded(AttemptId, AttemptEnd, Option<LoadReport>),
     /// The node list, or a change of it.
     NodeList(ListKind, Vec<NodeEntry>),
     /// This host's shares of the volumes' limits from now on.
@@ -185,7 +185,7 @@
     extent_part: Part,
     data: Payload,
     units: f64,
-    key: RepeatKey,
+    key: IdempotencyKey,
 }
 
 /// Drives one [`pearfork::Scheduler`].
@@ -352,7 +352,7 @@
             return out.push(Output::Answer(s.id, FinalAnswer::Served(Completion::Good(Payload::new()))));
         }
         let block = volume.unit.block_len;
-        let fields = |media: &Media| settings.fields_of(volume, media, &s.initiator, s.arrived_ms);
+        let fields = |media: &MediaCommand| settings.fields_of(volume, media, &s.initiator, s.arrived_ms);
         let whole = fields(&s.media);
         let class = self.matching.class_of(&whole);
         let plan_number = self.matching.plan_of(&whole).unwrap_or(volume.plan);
@@ -364,20 +364,20 @@
         let mut requests = Vec::with_capacity(parts.len());
         for (n, part) in parts.iter().enumerate() {
             let id = self.driver.allocate_id();
-            let bytes = part.media.moves(block);
+            let bytes = part.media.transfer_length(block);
             let valid_until = arrived + rule.deadline_ms;
             let request = OpenRequest {
                 command: s.id,
                 part: n,
                 volume: s.volume,
                 extent_part: *part,
-                data: s.data.slice(part.offset, part.media.data_out(block) as usize),
+                data: s.data.slice(part.offset, part.media.data_out_length(block) as usize),
                 units: settings.units_of(bytes),
-                key: RepeatKey {
+                key: IdempotencyKey {
                     host: settings.number,
-                    boot: self.boot,
+                    host_start_s: self.boot,
                     session: s.session_handle,
-                    command: s.command_number,
+                    cmd_sn: s.command_number,
                     part: n as u16,
                 },
             };
@@ -458,7 +458,7 @@
             media: request.extent_part.media,
             block_len,
             data: request.data.clone(),
-            tag: Tag {
+            tag: CommandMetadata {
                 key: request.key,
                 attempt: id.number,
                 volume: request.volume.0,
@@ -488,7 +488,7 @@
         now: f64,
         id: AttemptId,
         outcome: AttemptEnd,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         out: &mut Vec<Output>,
     ) {
         let Some(node) = self.driver.node_of(id) else { return };
@@ -557,14 +557,14 @@
 }
 
 /// Converts a node's report to the driver's form.
-fn node_report(r: Report) -> NodeReport {
+fn node_report(r: LoadReport) -> NodeReport {
     NodeReport {
         used_percent: Some(r.used_percent).filter(|u| *u != u16::MAX).map(f64::from),
-        other_hosts_units: f64::from(r.foreign_milli_units) / 1_000.0,
-        queue: Some(f64::from(r.queue)),
+        other_hosts_units: f64::from(r.other_hosts_milli_units) / 1_000.0,
+        queue: Some(f64::from(r.queued)),
         in_flight: Some(f64::from(r.in_flight)),
         latency_ms: Some(f64::from(r.service_us) / 1_000.0),
-        util: Some(f64::from(r.util_milli) / 1_000.0),
+        util: Some(f64::from(r.utilization_milli) / 1_000.0),
     }
 }
 
--- a/crates/host/src/engine.rs
+++ b/crates/host/src/engine.rs
@@ -5,7 +5,7 @@
 };
 use crate::links::Links;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
-use pearfork_iscsi::ext::Report;
+use pearfork_iscsi::node_extension::LoadReport;
 use pearfork_net::Clock;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 }
 
 impl Message {
-    pub(crate) fn attempt_ended(id: AttemptId, outcome: AttemptEnd, report: Option<Report>) -> Message {
+    pub(crate) fn attempt_ended(id: AttemptId, outcome: AttemptEnd, report: Option<LoadReport>) -> Message {
         Message::Input(Input::AttemptEnded(id, outcome, report))
     }
 }
--- a/crates/host/src/frontend.rs
+++ b/crates/host/src/frontend.rs
@@ -7,9 +7,9 @@
 use crate::settings::HostSettings;
 use crate::volumes::{Volume, VolumeId};
 use crossbeam_channel::Sender;
-use pearfork_iscsi::{Access, LoginStatus, Payload, Response, ScsiCommand, TaskTag, TmfFunction};
-use pearfork_net::{Clock, Service, Session};
-use pearfork_scsi::{lun_field, report_luns, status, unit_of, Answer, Cdb, MediaOp, Sense};
+use pearfork_iscsi::{AccessControl, LoginStatus, Payload, Response, ScsiCommand, TaskTag, TmfFunction};
+use pearfork_net::{Clock, Session, SessionHandler};
+use pearfork_scsi::{decode_lun, encode_lun, report_luns, status, Cdb, MediaOp, Sense, UnitResponse};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,7 +20,7 @@
     pub(crate) address: SocketAddr,
 }
 
-impl Access for InitiatorAccess {
+impl AccessControl for InitiatorAccess {
     fn targets(&self, initiator: &str) -> Vec<(String, String)> {
         let mut out: Vec<(String, String)> = Vec::new();
         for v in self.settings.volumes.iter().filter(|v| v.allows(initiator)) {
@@ -31,7 +31,7 @@
         out
     }
 
-    fn admit(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
+    fn authorize_login(&self, initiator: &str, target: &str) -> Result<(), LoginStatus> {
         let mut of_target = self.settings.volumes.iter().filter(|v| v.target == target).peekable();
         if of_target.peek().is_none() {
             return Err(LoginStatus::NOT_FOUND);
@@ -120,20 +120,20 @@
     /// Turns a command into a submission; as an error, the response to a command that needs no node.
     fn prepare(&self, client: &mut Client, command: &ScsiCommand) -> Result<Submission, Response> {
         let parsed = Cdb::parse(&command.cdb);
-        if let Ok(Cdb::ReportLuns { select, room }) = parsed {
-            return Err(local_response(report_luns(select, room, sorted(&client.units))));
+        if let Ok(Cdb::ReportLuns { select_report, allocation_length }) = parsed {
+            return Err(local_response(report_luns(select_report, allocation_length, sorted(&client.units))));
         }
-        let volume = unit_of(command.lun).and_then(|u| client.units.get(&u)).map(|id| self.volume(*id));
+        let volume = decode_lun(command.lun).and_then(|u| client.units.get(&u)).map(|id| self.volume(*id));
         let Some(volume) = volume else {
             // INQUIRY succeeds for a logical unit that does not exist, and reports that (SPC-4, section 6.6.1).
             return Err(match parsed {
-                Ok(Cdb::Inquiry { page: None, room }) => {
+                Ok(Cdb::Inquiry { page: None, allocation_length }) => {
                     let mut no_unit = vec![0x7f, 0, 6, 2, 31];
-                    no_unit.resize(36.min(room as usize).max(5), 0);
-                    no_unit.truncate(room as usize);
-                    local_response(Answer::Data(no_unit))
+                    no_unit.resize(36.min(allocation_length as usize).max(5), 0);
+                    no_unit.truncate(allocation_length as usize);
+                    local_response(UnitResponse::Data(no_unit))
                 }
-                _ => check_condition(Sense::NO_UNIT),
+                _ => check_condition(Sense::LOGICAL_UNIT_NOT_SUPPORTED),
             });
         };
         let cdb = parsed.map_err(check_condition)?;
@@ -141,25 +141,25 @@
             client.attention = false;
             return Err(check_condition(Sense::RESET));
         }
-        let mut media = match volume.unit.answer(&cdb) {
-            Answer::Media(media) => media,
+        let mut media = match volume.unit.respond(&cdb) {
+            UnitResponse::Media(media) => media,
             other => return Err(local_response(other)),
         };
         let block = volume.unit.block_len;
-        let full = media.moves(block);
+        let full = media.transfer_length(block);
         let sent = command.data.len() as u64;
-        if media.op == MediaOp::CompareAndWrite && sent != media.data_out(block) {
+        if media.op == MediaOp::CompareAndWrite && sent != media.data_out_length(block) {
             // With too little or too much data, COMPARE AND WRITE would compare or write other blocks than
             // the client meant.
             return Err(Response { full_length: full, ..check_condition(Sense::invalid_field(13)) });
         }
-        if sent < media.data_out(block) {
+        if sent < media.data_out_length(block) {
             // The initiator sent less data than the CDB transfers: the whole blocks received are written, and
             // the residual count covers the rest (RFC 7143, section 11.4.5.2). An incomplete block is not
             // written.
             media.blocks = (sent / u64::from(block)) as u32;
         }
-        let needed = media.data_out(block);
+        let needed = media.data_out_length(block);
         client.lengths.insert(command.tag.0, full);
         Ok(Submission {
             id: CommandId { session: client.session.id().0, tag: command.tag.0 },
@@ -184,19 +184,19 @@
     Response { status: status::CHECK_CONDITION, sense: sense.to_bytes(), ..Default::default() }
 }
 
-fn local_response(answer: Answer) -> Response {
+fn local_response(answer: UnitResponse) -> Response {
     match answer {
-        Answer::Data(data) => {
+        UnitResponse::Data(data) => {
             let data: Payload = data.into();
             Response { full_length: data.len() as u64, data, ..Default::default() }
         }
-        Answer::Check(sense) => check_condition(sense),
+        UnitResponse::CheckCondition(sense) => check_condition(sense),
         // Unreachable: the callers have handled media commands already.
-        Answer::Media(_) => check_condition(Sense::INVALID_OPCODE),
+        UnitResponse::Media(_) => check_condition(Sense::INVALID_OPCODE),
     }
 }
 
-impl Service for Frontend {
+impl SessionHandler for Frontend {
     fn logged_in(
         &self,
         session: &Arc<Session>,
@@ -237,7 +237,7 @@
         self.send(Input::Abandon(CommandId { session: session.id().0, tag: tag.0 }));
     }
 
-    fn managed(&self, session: &Arc<Session>, function: TmfFunction, lun: u64) {
+    fn task_management(&self, session: &Arc<Session>, function: TmfFunction, lun: u64) {
         if !matches!(function, TmfFunction::ClearTaskSet | TmfFunction::LunReset | TmfFunction::TargetReset) {
             return;
         }
@@ -249,7 +249,7 @@
                 .iter_mut()
                 .filter(|(id, c)| **id != session.id().0 && Some(&c.target) == target.as_ref());
             others
-                .filter(|(_, c)| all_units || unit_of(lun).is_some_and(|u| c.units.contains_key(&u)))
+                .filter(|(_, c)| all_units || decode_lun(lun).is_some_and(|u| c.units.contains_key(&u)))
                 .map(|(_, c)| {
                     c.attention = true;
                     c.session.clone()
@@ -257,9 +257,11 @@
                 .collect()
         };
         for other in others {
-            for tag in
-                other.abort_tasks(if all_units { None } else { Some(lun_field(unit_of(lun).unwrap_or(0))) })
-            {
+            for tag in other.abort_tasks(if all_units {
+                None
+            } else {
+                Some(encode_lun(decode_lun(lun).unwrap_or(0)))
+            }) {
                 self.aborted(&other, tag);
             }
         }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -13,7 +13,7 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_fleet::FleetMember;
 use pearfork_iscsi::Limits;
-use pearfork_net::{http, spawn_small, Clock, Portal, PortalConfig};
+use pearfork_net::{http, spawn_small_stack, Clock, Portal, PortalConfig};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -122,7 +122,9 @@
         let frontend = Arc::new(Frontend::new(settings.clone(), engine.clone(), clock));
         let outputs = EngineOutputs { frontend: frontend.clone(), watch_commands: watch_commands.clone() };
         let engine_links = links.clone();
-        spawn_small("engine", move || engine::run(dispatcher, clock, &messages, &engine_links, &outputs))?;
+        spawn_small_stack("engine", move || {
+            engine::run(dispatcher, clock, &messages, &engine_links, &outputs)
+        })?;
         let watcher = Watcher {
             host: settings.number,
             directory: settings.directory,
@@ -130,13 +132,13 @@
             links: links.clone(),
             engine: engine.clone(),
         };
-        spawn_small("directory", move || watcher.run(&watch_receiver))?;
+        spawn_small_stack("directory", move || watcher.run(&watch_receiver))?;
         let config = PortalConfig {
             access: Arc::new(InitiatorAccess { settings: settings.clone(), address }),
-            limits: Limits { commands: settings.commands, transfer: settings.max_transfer },
-            sessions: settings.sessions,
-            unread: MAX_UNSENT,
-            first_handle: (boot.wrapping_mul(40_503) >> 8) as u16,
+            limits: Limits { max_commands: settings.commands, max_transfer_bytes: settings.max_transfer },
+            max_sessions: settings.sessions,
+            max_unsent_bytes: MAX_UNSENT,
+            first_tsih: (boot.wrapping_mul(40_503) >> 8) as u16,
             tap: None,
         };
         let fleet = match (&settings.fleet, shared) {
@@ -152,13 +154,16 @@
             Some(listener) => {
                 let (settings, engine, frontend) = (settings.clone(), engine.clone(), frontend.clone());
                 let (draining, drain, fleet) = (draining.clone(), drain_sender.clone(), fleet.clone());
-                let respond = move |call: http::Call<'_>| match status::admin_request(call) {
+                let respond = move |call: http::Request<'_>| match status::admin_request(call) {
                     Some(status::AdminRequest::Drain) => {
                         let again = draining.swap(true, Ordering::SeqCst);
                         // The channel holds one request; further ones are answered and otherwise ignored.
                         let _ = drain.try_send(());
                         let text = if again { "it drains already\n" } else { "it drains\n" };
-                        http::Answer { status: 202, ..http::Answer::ok("text/plain; charset=utf-8", text) }
+                        http::Response {
+                            status: 202,
+                            ..http::Response::ok("text/plain; charset=utf-8", text)
+                        }
                     }
                     None => {
                         let draining = draining.load(Ordering::SeqCst);
@@ -174,7 +179,7 @@
                         )
                     }
                 };
-                Some(http::Server::start_with(listener, respond)?)
+                Some(http::Server::start_with_methods(listener, respond)?)
             }
             None => None,
         };
@@ -267,7 +272,7 @@
         while !all_sent() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
-        self.portal.kill();
+        self.portal.close_all();
         self.links.close_all();
         if let Some(fleet) = &self.fleet {
             // This host sends nothing any more, so that the other hosts may use its lease at once.
@@ -286,7 +291,7 @@
     pub fn kill(&self) {
         let _ = self.engine.try_send(Message::Stop);
         let _ = self.watch_commands.try_send(WatchCommand::Stop);
-        self.portal.kill();
+        self.portal.close_all();
         self.links.close_all();
         if let Some(fleet) = &self.fleet {
             fleet.stop();
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -6,9 +6,9 @@
 use crate::dispatcher::{AttemptEnd, AttemptId, Completion, OutgoingAttempt};
 use crate::engine::Message;
 use crossbeam_channel::Sender;
-use pearfork_iscsi::{Command, CommandDone, InitiatorConfig};
-use pearfork_net::{lock, spawn_small, Clock, Connection, ConnectionEvent, TapRef, Token};
-use pearfork_scsi::{lun_field, status, Sense, SenseKey};
+use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig};
+use pearfork_net::{lock, spawn_small_stack, Clock, CommandToken, Connection, ConnectionEvent, StreamTap};
+use pearfork_scsi::{encode_lun, status, Sense, SenseKey};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,8 +23,8 @@
     read_len: usize,
 }
 
-impl Token for Sent {
-    fn is_wanted(&self) -> bool {
+impl CommandToken for Sent {
+    fn is_needed(&self) -> bool {
         self.wanted.load(Ordering::SeqCst) && !has_passed(self.not_after)
     }
 }
@@ -114,7 +114,7 @@
                 *state = State::Opening(vec![attempt]);
                 drop(state);
                 let (links, opening) = (self.clone(), link.clone());
-                let spawned = spawn_small("node-connect", move || links.open(node, &opening));
+                let spawned = spawn_small_stack("node-connect", move || links.open(node, &opening));
                 if spawned.is_err() {
                     self.close_unopened(&link);
                 }
@@ -134,12 +134,12 @@
             };
             let engine = self.engine.clone();
             let events = move |event| on_event(&engine, node, event);
-            Connection::open(address, config, self.connect_timeout, TapRef::default(), events)
+            Connection::open(address, config, self.connect_timeout, StreamTap::default(), events)
                 .inspect_err(|e| tracing::debug!(node, error = %e, "connecting to the node failed"))
                 .ok()
         });
         let Some(connection) = opened else { return self.close_unopened(link) };
-        if self.extension && !connection.speaks_extension() {
+        if self.extension && !connection.extension_negotiated() {
             // Without the extension the node receives no repeat keys and cannot drop repeats, which the
             // scheduler relies on when it retries keyed requests.
             tracing::error!(
@@ -176,13 +176,13 @@
             // volume's limit that may by now be lent to another host.
             return self.report_unsent(attempt.id, AttemptEnd::NotSent);
         }
-        let read_len = attempt.media.data_in(attempt.block_len) as u32;
+        let read_len = attempt.media.data_in_length(attempt.block_len) as u32;
         let command = Command {
-            lun: lun_field(attempt.volume.0 as u16),
+            lun: encode_lun(attempt.volume.0 as u16),
             cdb: attempt.media.to_cdb(),
             read_len,
             data: attempt.data,
-            ext: Some(attempt.tag),
+            metadata: Some(attempt.tag),
         };
         let sent = Sent { id: attempt.id, wanted: attempt.wanted, not_after, read_len: read_len as usize };
         if let Err(sent) = connection.submit(sent, command) {
@@ -202,7 +202,7 @@
         if let Err(crossbeam_channel::TrySendError::Full(message)) = self.engine.try_send(message) {
             let engine = self.engine.clone();
             // If no thread can be started, the attempt's own time-out ends it.
-            let _ = spawn_small("outcome", move || drop(engine.send(message)));
+            let _ = spawn_small_stack("outcome", move || drop(engine.send(message)));
         }
     }
 
@@ -250,7 +250,7 @@
 fn on_event(engine: &Sender<Message>, node: u32, event: ConnectionEvent<Sent>) {
     let report_end = |id, outcome, report| drop(engine.send(Message::attempt_ended(id, outcome, report)));
     match event {
-        ConnectionEvent::Done(sent, done) => {
+        ConnectionEvent::Completed(sent, done) => {
             let report = done.report;
             report_end(sent.id, outcome_of(*done, sent.read_len), report);
         }
@@ -262,14 +262,14 @@
             sent.into_iter().for_each(|s| report_end(s.id, AttemptEnd::Reset, None));
             unsent
                 .into_iter()
-                .filter(Token::is_wanted)
+                .filter(CommandToken::is_needed)
                 .for_each(|s| report_end(s.id, AttemptEnd::ConnectFailed, None));
         }
     }
 }
 
 /// Maps the SCSI status from a node to the outcome of the attempt.
-fn outcome_of(done: CommandDone, read_len: usize) -> AttemptEnd {
+fn outcome_of(done: CommandCompletion, read_len: usize) -> AttemptEnd {
     match done.status {
         // GOOD with fewer bytes than requested is an error; the client would take the short data for the
         // whole.
--- a/crates/host/src/status.rs
+++ b/crates/host/src/status.rs
@@ -6,7 +6,7 @@
 use pearfork::{NodeEntry, NodeState, Reason};
 use pearfork_fleet::state::{HeldBudgetView, LinkView};
 use pearfork_fleet::FleetView;
-use pearfork_net::http::{Answer, Call, Method};
+use pearfork_net::http::{Method, Request, Response};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -89,7 +89,7 @@
 }
 
 /// The administrative request of a call, if it is one.
-pub(crate) fn admin_request(call: Call<'_>) -> Option<AdminRequest> {
+pub(crate) fn admin_request(call: Request<'_>) -> Option<AdminRequest> {
     let path = call.path.split('?').next().unwrap_or(call.path);
     (call.method == Method::Post && path == "/drain").then_some(AdminRequest::Drain)
 }
@@ -97,48 +97,50 @@
 /// Responds to a call that is no administrative request; `snapshot` is `None` if the engine did not answer in
 /// time.
 pub(crate) fn respond(
-    call: Call<'_>,
+    call: Request<'_>,
     settings: &HostSettings,
     snapshot: Option<Snapshot>,
     sessions: usize,
     draining: bool,
     fleet: Option<&FleetView>,
-) -> Answer {
+) -> Response {
     let path = call.path.split('?').next().unwrap_or(call.path);
     if call.method == Method::Post {
-        return Answer::error(404, "no such resource for POST; the only one is /drain");
+        return Response::error(404, "no such resource for POST; the only one is /drain");
     }
     if path == "/fleet" {
         // The fleet's state does not depend on the engine, which may be blocked.
-        return fleet.map_or(Answer::error(404, "this host is not in a fleet"), json);
+        return fleet.map_or(Response::error(404, "this host is not in a fleet"), json);
     }
     let Some(snapshot) = snapshot else {
-        return Answer::error(503, "the engine is not responding");
+        return Response::error(503, "the engine is not responding");
     };
     match path {
         "/health" => health(&snapshot, sessions, draining),
-        "/metrics" => Answer::ok("text/plain; version=0.0.4", metrics(settings, &snapshot, sessions, fleet)),
+        "/metrics" => {
+            Response::ok("text/plain; version=0.0.4", metrics(settings, &snapshot, sessions, fleet))
+        }
         "/nodes" => json(&nodes(&snapshot)),
         "/volumes" => json(&volumes(settings, &snapshot)),
-        _ => Answer::error(
+        _ => Response::error(
             404,
             "no such resource; available are /health, /metrics, /nodes, /volumes and /fleet",
         ),
     }
 }
 
-fn json(value: &impl Serialize) -> Answer {
-    Answer::ok("application/json", serde_json::to_vec_pretty(value).unwrap_or_default())
+fn json(value: &impl Serialize) -> Response {
+    Response::ok("application/json", serde_json::to_vec_pretty(value).unwrap_or_default())
 }
 
-fn health(snapshot: &Snapshot, sessions: usize, draining: bool) -> Answer {
+fn health(snapshot: &Snapshot, sessions: usize, draining: bool) -> Response {
     if draining {
         let open = snapshot.open;
-        Answer::error(503, &format!("draining, {open} commands open, {sessions} sessions"))
+        Response::error(503, &format!("draining, {open} commands open, {sessions} sessions"))
     } else if snapshot.node_list.values().any(|n| n.state == NodeState::Ready) {
-        Answer::ok("text/plain; charset=utf-8", "ok\n")
+        Response::ok("text/plain; charset=utf-8", "ok\n")
     } else {
-        Answer::error(503, "no node in the node list is ready")
+        Response::error(503, "no node in the node list is ready")
     }
 }
 
--- a/crates/host/src/volumes.rs
+++ b/crates/host/src/volumes.rs
@@ -3,7 +3,7 @@
 //! An extent is a fixed range of a volume's blocks. The settings assign it to a shard, and thereby to the
 //! nodes that hold that shard. A command that crosses extents is split at their boundaries.
 
-use pearfork_scsi::{Media, MediaOp, Unit};
+use pearfork_scsi::{LogicalUnit, MediaCommand, MediaOp};
 
 /// A volume's position in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
     /// Its LUN at that target.
     pub lun: u16,
     /// The SCSI logical unit: size and identity.
-    pub unit: Unit,
+    pub unit: LogicalUnit,
     /// Number of blocks in an extent.
     pub extent_blocks: u64,
     /// The shards that hold the extents, assigned round-robin.
@@ -42,7 +42,7 @@
     /// The shard that holds the extent.
     pub shard: u16,
     /// The operation and its blocks.
-    pub media: Media,
+    pub media: MediaCommand,
     /// Byte offset of this part's data within the command's data.
     pub offset: usize,
 }
@@ -63,7 +63,7 @@
     }
 
     /// Splits a command into its parts, in order; none if it has no blocks. The blocks must exist.
-    pub fn split(&self, media: Media) -> Vec<Part> {
+    pub fn split(&self, media: MediaCommand) -> Vec<Part> {
         let end = media.lba + u64::from(media.blocks);
         if media.op == MediaOp::Flush {
             return self.split_flush(media, end);
@@ -73,7 +73,7 @@
             let extent = lba / self.extent_blocks;
             let extent_end = end.min((extent + 1) * self.extent_blocks);
             let offset = (lba - media.lba) as usize * self.unit.block_len as usize;
-            let media = Media { lba, blocks: (extent_end - lba) as u32, ..media };
+            let media = MediaCommand { lba, blocks: (extent_end - lba) as u32, ..media };
             out.push(Part { extent: self.extent_key(extent), shard: self.shard_of(extent), media, offset });
             lba = extent_end;
         }
@@ -81,7 +81,7 @@
     }
 
     /// A flush goes once, with its whole range, to each shard that holds a block of the range.
-    fn split_flush(&self, media: Media, end: u64) -> Vec<Part> {
+    fn split_flush(&self, media: MediaCommand, end: u64) -> Vec<Part> {
         if media.blocks == 0 {
             return Vec::new();
         }
@@ -110,7 +110,7 @@
             name: "v".to_owned(),
             target: "t".to_owned(),
             lun: 0,
-            unit: Unit { blocks, block_len: 512, serial: "v".to_owned() },
+            unit: LogicalUnit { blocks, block_len: 512, serial: "v".to_owned() },
             extent_blocks,
             shards,
             plan: 0,
@@ -126,7 +126,7 @@
             lba in 0u64..5000, blocks in 0u32..2048, extent in 1u64..700, shards in 1u16..9,
         ) {
             let v = volume(10_000, extent, (0..shards).collect());
-            let media = Media { op: MediaOp::Read, lba, blocks, fua: false, group: 0 };
+            let media = MediaCommand { op: MediaOp::Read, lba, blocks, fua: false, group: 0 };
             let mut at = lba;
             for p in v.split(media) {
                 prop_assert_eq!(p.media.lba, at);
@@ -143,7 +143,7 @@
         #[test]
         fn a_flush_reaches_each_shard_of_its_range_once(lba in 0u64..5000, blocks in 1u32..5000, extent in 1u64..700) {
             let v = volume(10_000, extent, vec![4, 1, 4, 7]);
-            let media = Media { op: MediaOp::Flush, lba, blocks, fua: false, group: 0 };
+            let media = MediaCommand { op: MediaOp::Flush, lba, blocks, fua: false, group: 0 };
             let mut got: Vec<u16> = v.split(media).iter().map(|p| p.shard).collect();
             got.sort_unstable();
             let end = lba + u64::from(blocks) - 1;
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -7,7 +7,7 @@
 use pearfork_host::settings::HostSettings;
 use pearfork_host::volumes::VolumeId;
 use pearfork_iscsi::Payload;
-use pearfork_scsi::{Media, MediaOp};
+use pearfork_scsi::{MediaCommand, MediaOp};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -47,8 +47,8 @@
     fn submit_at(&mut self, arrived_ms: f64, op: MediaOp, lba: u64, blocks: u32) -> (CommandId, Vec<Output>) {
         let id = CommandId { session: 1, tag: self.next_tag };
         self.next_tag += 1;
-        let media = Media { op, lba, blocks, fua: false, group: 0 };
-        let data: Payload = vec![5; media.data_out(512) as usize].into();
+        let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
+        let data: Payload = vec![5; media.data_out_length(512) as usize].into();
         let submission = Submission {
             id,
             session_handle: 3,
--- a/crates/serving/src/client.rs
+++ b/crates/serving/src/client.rs
@@ -1,7 +1,7 @@
 //! One client connection. Replies are sent in the order of the commands.
 
 use bytes::Bytes;
-use pearfork_net::{lock, Poller, Waiting, WriteBuffer};
+use pearfork_net::{lock, PeekResult, Poller, WriteBuffer};
 use pearfork_platform::clients::{ClientId, ClientTable};
 use pearfork_platform::request::MAX_VALUE;
 use std::collections::VecDeque;
@@ -85,7 +85,7 @@
 
     /// Whether another command may be accepted. If not, the mailbox is notified when one may.
     pub(crate) fn can_accept_command(&self) -> bool {
-        let unread_replies = self.write_buffer.kept().div_ceil(MAX_VALUE);
+        let unread_replies = self.write_buffer.buffered_bytes().div_ceil(MAX_VALUE);
         let mut queue = lock(&self.queue);
         queue.notify_below_limit = queue.replies.len() >= MAX_OPEN_COMMANDS;
         queue.replies.len() + unread_replies < MAX_OPEN_COMMANDS
@@ -93,7 +93,7 @@
 
     /// Whether the client has not yet taken all replies that were written.
     pub(crate) fn has_unsent(&self) -> bool {
-        self.write_buffer.kept() > 0
+        self.write_buffer.buffered_bytes() > 0
     }
 
     /// Reserves the slot for the reply to the next command.
@@ -114,7 +114,7 @@
             if let Some(Some(bytes)) = queue.replies.pop_front() {
                 queue.first_slot += 1;
                 // A failed write shuts the connection down, which its reader notices.
-                let _ = self.write_buffer.put(bytes);
+                let _ = self.write_buffer.send(bytes);
             }
         }
         let done = queue.notify_when_done && queue.replies.is_empty();
@@ -138,7 +138,7 @@
 
     /// Whether received data has not been read yet.
     pub(crate) fn has_unread(&self) -> bool {
-        self.write_buffer.waiting() == Waiting::Bytes
+        self.write_buffer.peek() == PeekResult::Data
     }
 
     /// Closes the connection in both directions because the client disconnected or is being evicted.
@@ -153,6 +153,6 @@
     /// its notification is queued behind everything else the engine has to do; an attempt started in the
     /// meantime would be sent for a client that no longer waits.
     pub(crate) fn is_disconnected(&self) -> bool {
-        self.write_buffer.has_ended()
+        self.write_buffer.peer_closed()
     }
 }
--- a/crates/serving/src/client_reader.rs
+++ b/crates/serving/src/client_reader.rs
@@ -5,7 +5,7 @@
 use crate::test_hooks::{Point, TestHooks};
 use bytes::Bytes;
 use crossbeam_channel::Sender;
-use pearfork_net::{lock, long_queue, Clock, Flusher, Ready, Want, WriteBuffer, MOST_TOLD};
+use pearfork_net::{lock, set_accept_backlog, Clock, Flusher, Interest, Readiness, WriteBuffer, MAX_EVENTS};
 use pearfork_platform::clients::{AfterError, ClientId, ClientTable};
 use pearfork_platform::config::RequestSchema;
 use pearfork_platform::lifecycle::{Effect, Event, Lifecycle, State};
@@ -86,7 +86,7 @@
             Some(last_poll_end) if ended_at - began_at < MIN_BLOCKED_MS => {
                 // With this many ready sockets others may have been left out and waited for longer, so the
                 // estimate is not advanced.
-                if sockets < MOST_TOLD {
+                if sockets < MAX_EVENTS {
                     last_poll_end
                 } else {
                     self.arrived_after
@@ -164,9 +164,9 @@
     /// # Errors
     /// The error of the system call.
     pub(crate) fn register_listener(&self, listener: &TcpListener) -> io::Result<()> {
-        long_queue(listener, ACCEPT_QUEUE_LEN)?;
+        set_accept_backlog(listener, ACCEPT_QUEUE_LEN)?;
         listener.set_nonblocking(true)?;
-        self.mailbox.poller.add(listener, LISTENER_TOKEN, Want::Read)
+        self.mailbox.poller.add(listener, LISTENER_TOKEN, Interest::Readable)
     }
 
     /// Runs until stopped.
@@ -205,7 +205,7 @@
                 self.sweep(now, closing);
             }
         }
-        pearfork_net::shut_listener(listener);
+        pearfork_net::shutdown_listener(listener);
     }
 
     /// Time at which connections need attention even if no data arrives.
@@ -235,7 +235,10 @@
     fn resume(&mut self, id: ClientId) {
         self.accept_commands(id);
         if self.connections.get(&id).is_some_and(|c| c.lifecycle.accepts_commands()) {
-            self.handle_ready(Ready { token: id, broken: false, ended: false }, &mut vec![0u8; READ_CHUNK]);
+            self.handle_ready(
+                Readiness { token: id, hung_up: false, peer_closed: false },
+                &mut vec![0u8; READ_CHUNK],
+            );
         }
     }
 
@@ -255,7 +258,7 @@
         }
         if self.accept_paused_until.is_some_and(|until| now >= until) {
             self.accept_paused_until = None;
-            let _ = self.mailbox.poller.change(listener, LISTENER_TOKEN, Want::Read);
+            let _ = self.mailbox.poller.modify(listener, LISTENER_TOKEN, Interest::Readable);
         }
     }
 
@@ -312,7 +315,7 @@
             return false;
         }
         self.mailbox.poller.remove(listener);
-        pearfork_net::shut_listener(listener);
+        pearfork_net::shutdown_listener(listener);
         true
     }
 
@@ -320,7 +323,7 @@
     fn pause_accepting(&mut self, listener: &TcpListener) {
         self.queued_since.get_or_insert(self.arrivals.arrived_after);
         self.accept_paused_until = Some(self.clock.now_ms() + ACCEPT_PAUSE_MS);
-        let _ = self.mailbox.poller.change(listener, LISTENER_TOKEN, Want::Nothing);
+        let _ = self.mailbox.poller.modify(listener, LISTENER_TOKEN, Interest::Hangup);
     }
 
     fn add_connection(&mut self, stream: TcpStream) {
@@ -343,7 +346,7 @@
         let _ = stream.set_nodelay(true);
         let write_buffer = WriteBuffer::new(stream, &self.flusher);
         let client = Arc::new(Client::new(id, write_buffer, self.mailbox.clone(), self.table.clone()));
-        if self.mailbox.poller.add(client.write_buffer.stream(), id, Want::Read).is_err() {
+        if self.mailbox.poller.add(client.write_buffer.stream(), id, Interest::Readable).is_err() {
             lock(&self.table).remove(id);
             return;
         }
@@ -379,7 +382,7 @@
                 State::AwaitingReplies if !c.client.has_open_commands() => {
                     self.handle_event(id, Event::AllAnswered)
                 }
-                State::Flushing(_) if c.client.write_buffer.kept() == 0 => {
+                State::Flushing(_) if c.client.write_buffer.buffered_bytes() == 0 => {
                     lock(&self.table).set_flushing(id, false);
                     self.handle_event(id, Event::Flushed);
                 }
@@ -408,7 +411,7 @@
         }
         match effect {
             Effect::None => {}
-            Effect::ShutdownWrite => c.client.write_buffer.end_sending(),
+            Effect::ShutdownWrite => c.client.write_buffer.shutdown_write(),
             Effect::Close => return self.remove(id),
         }
         let lifecycle = c.lifecycle;
@@ -416,8 +419,8 @@
             c.unread_since.get_or_insert(now);
         }
         if before.reads() != lifecycle.reads() {
-            let want = if lifecycle.reads() { Want::Read } else { Want::Nothing };
-            let _ = self.mailbox.poller.change(c.client.write_buffer.stream(), id, want);
+            let want = if lifecycle.reads() { Interest::Readable } else { Interest::Hangup };
+            let _ = self.mailbox.poller.modify(c.client.write_buffer.stream(), id, want);
         }
         if lifecycle.is_closing()
             || lifecycle.state() == State::AtRequestLimit
@@ -443,18 +446,18 @@
     }
 
     /// Handles a connection that has data or has ended.
-    fn handle_ready(&mut self, ready: Ready, chunk: &mut [u8]) {
+    fn handle_ready(&mut self, ready: Readiness, chunk: &mut [u8]) {
         let id = ready.token;
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if !connection.lifecycle.reads() {
             // The end of a connection is seen even while it is not read; otherwise its waiting requests would
             // be sent for a client that has disconnected.
-            if ready.ended {
+            if ready.peer_closed {
                 self.handle_event(id, Event::Disconnected);
             }
             return;
         }
-        match connection.client.write_buffer.read_now(chunk) {
+        match connection.client.write_buffer.try_read(chunk) {
             Ok(None) => connection.unread_since = None,
             Ok(Some(0)) | Err(_) => self.handle_event(id, Event::Disconnected),
             // The client sends a request that arrives now once more on another connection; executed here, it
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -6,7 +6,9 @@
 use crossbeam_channel::Sender;
 use pearfork::AttemptResult;
 use pearfork_drive::NodeReport;
-use pearfork_net::{begin_connect, is_shortage, lock, Clock, Flusher, Poller, Waiting, Want, WriteBuffer};
+use pearfork_net::{
+    is_resource_shortage, lock, start_connect, Clock, Flusher, Interest, PeekResult, Poller, WriteBuffer,
+};
 use pearfork_platform::node_reply::{self, NodeReply};
 use pearfork_platform::pool::LinkId;
 use pearfork_resp::ReplyDecoder;
@@ -51,7 +53,7 @@
     /// under this lock, so none can be in transit between the socket and this check.
     pub(crate) fn send(&self, command: Bytes) -> Result<(), LinkUnusable> {
         let mut state = lock(&self.state);
-        if state.closed || (state.in_flight == 0 && self.write_buffer.waiting() != Waiting::Nothing) {
+        if state.closed || (state.in_flight == 0 && self.write_buffer.peek() != PeekResult::Empty) {
             state.closed = true;
             return Err(LinkUnusable);
         }
@@ -60,7 +62,7 @@
         }
         state.in_flight += 1;
         // A failed write closes the connection, which its reader notices.
-        let _ = self.write_buffer.put(command);
+        let _ = self.write_buffer.send(command);
         Ok(())
     }
 
@@ -68,20 +70,20 @@
     /// after it.
     pub(crate) fn retract(&self, behind: usize) -> bool {
         let mut state = lock(&self.state);
-        let retracted = self.write_buffer.take_back(behind);
+        let retracted = self.write_buffer.cancel_unsent(behind);
         state.in_flight -= usize::from(retracted);
         retracted
     }
 
     /// Whether a command has not been sent completely; `behind` commands were written after it.
     pub(crate) fn is_unsent(&self, behind: usize) -> bool {
-        self.write_buffer.unsent() > behind
+        self.write_buffer.unsent_chunks() > behind
     }
 
     /// Reads data and decodes the replies in it. Returns whether the link may be used further.
     fn read(&self, chunk: &mut [u8], replies: &mut Vec<NodeReply>) -> bool {
         let mut state = lock(&self.state);
-        match self.write_buffer.read_now(chunk) {
+        match self.write_buffer.try_read(chunk) {
             Ok(None) => return true,
             Ok(Some(0)) | Err(_) => {
                 state.closed = true;
@@ -160,11 +162,11 @@
 
     /// Starts to connect. The engine is notified of the outcome.
     pub(crate) fn open(&self, id: LinkId, address: &SocketAddr) -> ConnectStart {
-        let stream = match begin_connect(address) {
+        let stream = match start_connect(address) {
             Ok(stream) => stream,
             Err(error) => {
                 tracing::debug!(link = id, %address, %error, "connect failed");
-                return if is_shortage(&error) {
+                return if is_resource_shortage(&error) {
                     ConnectStart::ResourceShortage
                 } else {
                     ConnectStart::Failed
@@ -185,7 +187,7 @@
         let write_buffer = WriteBuffer::new(stream, &self.flusher);
         let link = Arc::new(Link { write_buffer, state: Mutex::new(state), clock: self.clock });
         let mut links = lock(&self.links);
-        if let Err(error) = self.poller.add(link.write_buffer.stream(), id, Want::Write) {
+        if let Err(error) = self.poller.add(link.write_buffer.stream(), id, Interest::Writable) {
             tracing::debug!(link = id, %address, %error, "link cannot be polled");
             return ConnectStart::ResourceShortage;
         }
@@ -199,7 +201,7 @@
         if let Some(link) = link {
             self.poller.remove(link.write_buffer.stream());
             lock(&link.state).closed = true;
-            link.write_buffer.shut();
+            link.write_buffer.shutdown();
         }
     }
 
@@ -242,7 +244,7 @@
     fn connect_finished(&self, id: LinkId, link: &Arc<Link>) {
         let stream = link.write_buffer.stream();
         let failed = match stream.take_error() {
-            Ok(None) => self.poller.change(stream, id, Want::Read).err(),
+            Ok(None) => self.poller.modify(stream, id, Interest::Readable).err(),
             Ok(Some(e)) | Err(e) => Some(e),
         };
         if let Some(error) = failed {
--- a/crates/serving/src/service.rs
+++ b/crates/serving/src/service.rs
@@ -8,7 +8,7 @@
 use crate::watch::{CallTiming, DiscoveryTarget, DiscoveryWatcher};
 use crossbeam_channel::{bounded, Sender};
 use pearfork_drive::Driver;
-use pearfork_net::{get_to_start, lock, spawn_small, Clock, Flusher, Poller};
+use pearfork_net::{lock, retry_startup_shortage, spawn_small_stack, Clock, Flusher, Poller};
 use pearfork_platform::clients::{max_client_connections, max_node_connections, ClientTable};
 use pearfork_platform::config::Config;
 use pearfork_platform::pool::Pool;
@@ -126,10 +126,11 @@
         let driver = Driver::new(config.scheduler, config.seed)?;
         let clock = Clock::start();
         // Descriptors first, so that a host that gets none has not started anything.
-        let listener = get_to_start(|| TcpListener::bind(address));
+        let listener = retry_startup_shortage(|| TcpListener::bind(address));
         let listener = Arc::new(listener.map_err(|source| ServiceError::Listen { address, source })?);
-        let (node_poller, client_poller) = (get_to_start(Poller::new)?, get_to_start(Poller::new)?);
-        let flusher = get_to_start(Flusher::start)?;
+        let (node_poller, client_poller) =
+            (retry_startup_shortage(Poller::new)?, retry_startup_shortage(Poller::new)?);
+        let flusher = retry_startup_shortage(Flusher::start)?;
         let (engine, messages) = bounded(ENGINE_QUEUE);
         let table = Arc::new(Mutex::new(ClientTable::new(max_client_connections(config.limits.descriptors))));
         let pool = Pool::new(config.links, max_node_connections(config.limits.descriptors));
@@ -137,15 +138,15 @@
         node_links.hooks = hooks.clone();
         let node_links = Arc::new(node_links);
         let reader = node_links.clone();
-        spawn_small("nodes", move || reader.run())?;
+        spawn_small_stack("nodes", move || reader.run())?;
         let mut engine_thread =
             Engine::new(driver, pool, clock, table.clone(), node_links, config.links.connect_timeout_ms);
         engine_thread.hooks = hooks.clone();
         engine_thread.load_cached_list(&config.cached_nodes);
-        spawn_small("engine", move || engine_thread.run(&messages))?;
+        spawn_small_stack("engine", move || engine_thread.run(&messages))?;
         let discovery = Arc::new(DiscoveryTarget::new(config.discovery));
         let watcher = DiscoveryWatcher::new(discovery.clone(), engine.clone(), CallTiming::for_grace(grace));
-        spawn_small("discovery", move || watcher.run())?;
+        spawn_small_stack("discovery", move || watcher.run())?;
         let (mailbox, shutdown) = (Arc::new(Mailbox::new(client_poller)), Arc::new(ShutdownFlags::default()));
         let mut client_reader = ClientReader::new(
             mailbox.clone(),
@@ -159,7 +160,7 @@
         client_reader.hooks = hooks;
         client_reader.register_listener(&listener)?;
         let reader_listener = listener.clone();
-        spawn_small("clients", move || client_reader.run(&reader_listener))?;
+        spawn_small_stack("clients", move || client_reader.run(&reader_listener))?;
         tracing::info!(name = config.name, %address, "host listens");
         let longest_deadline = Duration::from_secs_f64(longest_deadline / 1_000.0);
         Ok(Service { listener, engine, mailbox, table, discovery, shutdown, longest_deadline })
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -172,7 +172,7 @@
         };
         let on_connect = |stream: &TcpStream| self.target.call_started(address, stream);
         let (status, body) =
-            http::get_while(address, &path, timeout, on_connect).map_err(|e| e.to_string())?;
+            http::get_cancellable(address, &path, timeout, on_connect).map_err(|e| e.to_string())?;
         if status != 200 {
             return Err(format!("{address}: status {status}"));
         }
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A fake node, fake discovery and a client, on loopback.
 
 use bytes::{Bytes, BytesMut};
-use pearfork_net::http::{Answer, Server};
+use pearfork_net::http::{Response, Server};
 use pearfork_platform::config::Config;
 use pearfork_resp::{write, Command, CommandDecoder, CommandLimits, Reply, ReplyDecoder, ReplyLimits};
 use pearfork_serving::Service;
@@ -98,9 +98,9 @@
     let respond = move |path: &str| {
         if path.contains(&known) {
             std::thread::sleep(Duration::from_millis(100));
-            return Answer::ok("application/json", unchanged.clone());
+            return Response::ok("application/json", unchanged.clone());
         }
-        Answer::ok("application/json", full.clone())
+        Response::ok("application/json", full.clone())
     };
     Server::start(TcpListener::bind("127.0.0.1:0").unwrap(), respond).unwrap()
 }
