--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -5,7 +5,7 @@
 
 use pearfork_day::script::Day;
 use pearfork_host::settings::{HostSettings, Overrides};
-use pearfork_match::{Gravity, Rules};
+use pearfork_match::{Rules, Severity};
 use serde::Serialize;
 use std::path::Path;
 
@@ -65,13 +65,13 @@
         return match Rules::compile(&text) {
             Ok(rules) => {
                 let told = rules.warnings();
-                let words = told.render(&name, &text, Gravity::Warning);
+                let words = told.render(&name, &text, Severity::Warning);
                 let warnings = if told.0.is_empty() { Vec::new() } else { vec![words] };
                 verdict(Some(Kind::Rules), String::new(), warnings, of_rules(&rules))
             }
             Err(faults) => verdict(
                 Some(Kind::Rules),
-                faults.render(&name, &text, Gravity::Fault),
+                faults.render(&name, &text, Severity::Error),
                 Vec::new(),
                 String::new(),
             ),
--- a/crates/check/src/main.rs
+++ b/crates/check/src/main.rs
@@ -4,7 +4,7 @@
 use pearfork_check::{file_with, request};
 use pearfork_cli::{Common, Exit, Mark, Output, SettingsArguments};
 use pearfork_host::settings::HostSettings;
-use pearfork_match::Gravity;
+use pearfork_match::Severity;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -209,8 +209,8 @@
 
 fn format(files: &[PathBuf], check: bool, output: Output) -> Result<Exit, String> {
     rewrite(files, check, output, |name, text| {
-        let told = |f: pearfork_match::Faults| {
-            format!("{name} stays as it is\n{}", f.render(name, text, Gravity::Fault))
+        let told = |f: pearfork_match::Diagnostics| {
+            format!("{name} stays as it is\n{}", f.render(name, text, Severity::Error))
         };
         pearfork_match::format(text).map(Some).map_err(told)
     })
--- a/crates/check/src/request.rs
+++ b/crates/check/src/request.rs
@@ -1,7 +1,7 @@
 //! What the matching rules say of a request, in words.
 
 use pearfork_host::settings::HostSettings;
-use pearfork_match::{Place, Tried};
+use pearfork_match::{RowTrace, Span};
 use pearfork_scsi::{Media, MediaOp};
 use serde::Serialize;
 use std::fmt::Write;
@@ -87,7 +87,7 @@
         let _ = writeln!(out, "{hidden} rows before these do not match; --all shows them");
     }
     for tried in &explained.rows[hidden..] {
-        row(&mut out, tried, |place| plan.matching.source_at(place));
+        row(&mut out, tried, |span| plan.matching.source_at(span));
     }
     let class = plan.class_names[usize::from(plan.matching.class_of(&fields))].clone();
     let plan_number = usize::from(plan.matching.plan_of(&fields).unwrap_or(v.plan));
@@ -102,16 +102,16 @@
     Ok(Answer { class, plan: name, key, steps, worst_steps, words: out })
 }
 
-fn row<'a>(out: &mut String, tried: &Tried, written: impl Fn(Place) -> (usize, &'a str)) {
-    let (line, _) = written(tried.place);
+fn row<'a>(out: &mut String, tried: &RowTrace, written: impl Fn(Span) -> (usize, &'a str)) {
+    let (line, _) = written(tried.span);
     let verdict = if tried.matched { "matches" } else { "does not match" };
     let _ = writeln!(out, "line {line}: class \"{}\" {verdict}, {} steps", tried.class, tried.steps);
     for test in &tried.tests {
-        let (_, text) = written(test.place);
-        let _ = match &test.of[..] {
-            [] => writeln!(out, "    {:<5}  {text}", test.gave),
-            [one] => writeln!(out, "    {:<5}  {text}    of {one}", test.gave),
-            all => writeln!(out, "    {:<5}  {text}    of {}", test.gave, all.join(" and ")),
+        let (_, text) = written(test.span);
+        let _ = match &test.operands[..] {
+            [] => writeln!(out, "    {:<5}  {text}", test.outcome),
+            [one] => writeln!(out, "    {:<5}  {text}    of {one}", test.outcome),
+            all => writeln!(out, "    {:<5}  {text}    of {}", test.outcome, all.join(" and ")),
         };
     }
 }
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -17,7 +17,7 @@
 use crate::units::Span;
 use crate::volumes::{Volume, VolumeId};
 use pearfork_fleet::FleetSettings;
-use pearfork_layers::{Key, LayerFault, Layers};
+use pearfork_layers::{Key, LayerError, Layers};
 use pearfork_match::Fields;
 use pearfork_scsi::{Media, MediaOp, Unit, MAX_TRANSFER_BLOCKS};
 use std::collections::HashSet;
@@ -53,16 +53,16 @@
     },
     /// Layers that can't be put together.
     #[error(transparent)]
-    Layer(#[from] LayerFault),
+    Layer(#[from] LayerError),
     /// Something that one of the seven rules stands against.
-    #[error("{place}, {entry}, {}: {refusal}", refusal.key)]
+    #[error("{place}, {entry}, {}: {violation}", violation.key)]
     Rule {
         /// Table.
         entry: String,
         /// Where it was given: a line of the file, or which layer.
         place: String,
         /// What is asked, and what would be accepted.
-        refusal: pearfork_terms::Refusal,
+        violation: pearfork_terms::Violation,
     },
     /// Values that do not go together: the entry, and what is wrong.
     #[error("{entry}: {what}")]
@@ -178,7 +178,7 @@
         read: &dyn Fn(&str) -> Result<String, String>,
         over: &Overrides,
     ) -> Result<HostSettings, HostSettingsErrors> {
-        let layers = Layers::gather(name, text, read, over, EXCLUSIVE).map_err(|faults| {
+        let layers = Layers::load(name, text, read, over, EXCLUSIVE).map_err(|faults| {
             HostSettingsErrors(faults.into_iter().map(HostSettingsError::from).collect())
         })?;
         let file = shape(name, text, &layers)
@@ -246,12 +246,12 @@
 /// The layers as the tables that they must be; otherwise what is wrong, in words.
 fn shape(name: &str, text: &str, layers: &Layers) -> Result<File, String> {
     if layers.merged.contains_key("classify") {
-        let place = layers.place(&Key::of(&["classify"])).map_or(name.to_owned(), Origin::to_string);
+        let place = layers.origin(&Key::of(&["classify"])).map_or(name.to_owned(), Origin::to_string);
         return Err(format!(
             "{place}: `classify` is of the form before {FORMAT}; `pearfork-check migrate FILE` writes the file anew"
         ));
     }
-    if layers.is_plain() {
+    if layers.is_single_file() {
         // One file says it all: the words of its parser show the line itself.
         return toml::from_str(text).map_err(|e| format!("{name}: {e}"));
     }
@@ -264,7 +264,7 @@
         if let Some(field) = field.filter(|f| key.parts().last().is_none_or(|last| last != f)) {
             key = key.child(field);
         }
-        let place = layers.place(&key).map_or(name.to_owned(), Origin::to_string);
+        let place = layers.origin(&key).map_or(name.to_owned(), Origin::to_string);
         format!("{place}: `{key}`: {why}")
     })
 }
@@ -396,9 +396,9 @@
             self.fault("module", e.to_string());
         }
         // Hosts that divide a limit have no even parts of it, and a check of their own.
-        let even = |r: &pearfork_terms::Refusal| file.fleet.is_none() || r.key != "burst";
-        for refusal in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(even) {
-            let entry = match refusal.entry {
+        let even = |r: &pearfork_terms::Violation| file.fleet.is_none() || r.key != "burst";
+        for violation in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(even) {
+            let entry = match violation.entry {
                 pearfork_terms::Entry::Class(i) if i < file.class.len() => {
                     format!("class `{}`", class_names[i])
                 }
@@ -406,8 +406,8 @@
                 pearfork_terms::Entry::Plan(i) => format!("plan `{}`", file.plan[i].name),
                 pearfork_terms::Entry::Rules => "rules".to_owned(),
             };
-            let place = self.place_of(&file, refusal.entry, refusal.key);
-            self.faults.push(HostSettingsError::Rule { entry, place, refusal });
+            let place = self.place_of(&file, violation.entry, violation.key);
+            self.faults.push(HostSettingsError::Rule { entry, place, violation });
         }
         let fleet = self.fleet(&file);
         let (Some(matching), true) = (matching, self.faults.is_empty()) else {
--- a/crates/host/src/settings/matching.rs
+++ b/crates/host/src/settings/matching.rs
@@ -4,7 +4,7 @@
 use super::{Checker, HostSettingsError};
 use crate::volumes::Volume;
 use pearfork_layers::Key;
-use pearfork_match::{nearest, Fault, Faults, Fields, Gravity, Place, Rules};
+use pearfork_match::{closest_match, Diagnostic, Diagnostics, Fields, Rules, Severity, Span};
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
 
@@ -28,15 +28,15 @@
 }
 
 impl RulesSource {
-    fn show(&self, faults: Faults, gravity: Gravity) -> String {
-        faults.within(self.offset).render(&self.name, self.text.as_bytes(), gravity)
+    fn show(&self, faults: Diagnostics, severity: Severity) -> String {
+        faults.shifted(self.offset).render(&self.name, self.text.as_bytes(), severity)
     }
 }
 
 impl Matching {
     /// The class of a request. The rules were checked to give one to every request.
     pub fn class_of(&self, fields: &Fields<'_>) -> u16 {
-        let number = self.rules.class_number(fields).unwrap_or(0);
+        let number = self.rules.class_index(fields).unwrap_or(0);
         self.class_positions.get(number).copied().unwrap_or(0)
     }
 
@@ -61,8 +61,8 @@
     }
 
     /// A piece of the rules as it was written, and the line that it stands on.
-    pub fn source_at(&self, place: Place) -> (usize, &str) {
-        let (from, to) = (place.from + self.source.offset, place.to + self.source.offset);
+    pub fn source_at(&self, span: Span) -> (usize, &str) {
+        let (from, to) = (span.start + self.source.offset, span.end + self.source.offset);
         let text = &self.source.text;
         (1 + text.get(..from).map_or(0, |t| t.matches('\n').count()), text.get(from..to).unwrap_or(""))
     }
@@ -72,7 +72,7 @@
     fn source(&mut self, file: &File) -> Option<(RulesSource, String)> {
         match (&file.r#match.rules, &file.r#match.file) {
             (Some(text), None) => {
-                let given = self.layers.given(&Key::of(&["match", "rules"])).last();
+                let given = self.layers.values(&Key::of(&["match", "rules"])).last();
                 let alone = |name: String| RulesSource { name, text: text.clone(), offset: 0 };
                 let source = match given.and_then(|g| g.span.clone()) {
                     Some((at, span)) => {
@@ -108,7 +108,7 @@
 
     /// A file that is named by an included one stands beside that one.
     fn beside(&self, name: &str) -> String {
-        let given = self.layers.given(&Key::of(&["match", "file"])).last();
+        let given = self.layers.values(&Key::of(&["match", "file"])).last();
         // The last source is the settings file itself, from whose folder paths are counted; so they are for what goes over it.
         let included = |at: &usize| at + 1 < self.layers.sources.len();
         let Some(own) = given.and_then(|g| g.span.as_ref()).map(|(at, _)| *at).filter(included) else {
@@ -126,10 +126,10 @@
         volumes: &[Volume],
     ) -> Option<Matching> {
         let (source, text) = self.source(file)?;
-        let rules = match Rules::compile_within(text.as_bytes(), file.r#match.max_steps) {
+        let rules = match Rules::compile_with_limit(text.as_bytes(), file.r#match.max_steps) {
             Ok(rules) => rules,
             Err(faults) => {
-                self.faults.push(HostSettingsError::Rules(source.show(faults, Gravity::Fault)));
+                self.faults.push(HostSettingsError::Rules(source.show(faults, Severity::Error)));
                 return None;
             }
         };
@@ -140,18 +140,18 @@
         let mut unknown = unknown_names("class", rules.class_rows(), &known_classes);
         unknown.extend(unknown_names("plan", rules.plan_rows(), &known_plans));
         if !unknown.is_empty() {
-            self.faults.push(HostSettingsError::Rules(source.show(Faults(unknown), Gravity::Fault)));
+            self.faults.push(HostSettingsError::Rules(source.show(Diagnostics(unknown), Severity::Error)));
         }
         // A route is there for its requests; who writes one that none can reach has meant another.
-        let never: HashSet<usize> = rules.warnings().0.iter().map(|w| w.place.from).collect();
+        let never: HashSet<usize> = rules.warnings().0.iter().map(|w| w.span.start).collect();
         let reached: HashSet<&str> =
-            rules.class_rows().filter(|r| !never.contains(&r.1.from)).map(|r| r.0).collect();
+            rules.class_rows().filter(|r| !never.contains(&r.1.start)).map(|r| r.0).collect();
         for r in file.route.iter().filter(|r| !reached.contains(r.name.as_str())) {
             let what = "no request can reach it: a row `class \"...\" if ...` of the matching rules must name it, and match";
             self.fault(format!("route `{}`", r.name), what);
         }
         // Danger: COMPARE AND WRITE run twice compares with what its first run wrote, and fails a success.
-        for name in rules.classes_within_reach("compare-and-write") {
+        for name in rules.reachable_classes("compare-and-write") {
             let class = names.iter().position(|n| n == name).map(|i| &classes[i]);
             if class.is_some_and(|c| c.effect != pearfork::Effect::Unsafe) {
                 let what =
@@ -161,7 +161,7 @@
             }
         }
         if !rules.warnings().0.is_empty() {
-            self.warnings.push(source.show(rules.warnings().clone(), Gravity::Warning));
+            self.warnings.push(source.show(rules.warnings().clone(), Severity::Warning));
         }
         self.ordered(&rules, names, classes, volumes);
         let class = |n: &&str| names.iter().position(|c| c == n).unwrap_or(0) as u16;
@@ -174,11 +174,13 @@
         let ordered: Vec<&str> =
             names.iter().zip(classes).filter(|(_, c)| c.ordered).map(|(n, _)| n.as_str()).collect();
         let used = rules.class_names();
-        let Some(key) = rules.key_use().filter(|_| ordered.iter().any(|o| used.contains(o))) else { return };
+        let Some(key) = rules.key_dependencies().filter(|_| ordered.iter().any(|o| used.contains(o))) else {
+            return;
+        };
         for v in volumes {
-            for trouble in key.troubles(v.extent_blocks) {
+            for conflict in key.conflicts(v.extent_blocks) {
                 self.warnings.push(format!(
-                    "warning: `key` orders class {}, and on volume `{}` {trouble}",
+                    "warning: `key` orders class {}, and on volume `{}` {conflict}",
                     ordered.join(", "),
                     v.name
                 ));
@@ -190,13 +192,13 @@
 /// One fault for each name that rows give and the settings don't.
 fn unknown_names<'a>(
     kind: &str,
-    rows: impl Iterator<Item = (&'a str, Place)>,
+    rows: impl Iterator<Item = (&'a str, Span)>,
     known: &HashSet<&str>,
-) -> Vec<Fault> {
+) -> Vec<Diagnostic> {
     let mut told = HashSet::new();
-    let fault = |(name, place): (&str, Place)| {
-        let fault = Fault::new(place, format!("there is no [[{kind}]] `{name}`"));
-        match nearest(name, known.iter().copied()) {
+    let fault = |(name, span): (&str, Span)| {
+        let fault = Diagnostic::new(span, format!("there is no [[{kind}]] `{name}`"));
+        match closest_match(name, known.iter().copied()) {
             Some(near) => fault.help(format!("did you mean \"{near}\"?")),
             None => {
                 fault.help(format!("each {kind} that rules name needs a [[{kind}]] table in the settings"))
--- a/crates/host/src/settings/provenance.rs
+++ b/crates/host/src/settings/provenance.rs
@@ -2,8 +2,8 @@
 
 use super::tables::File;
 use super::{Origin, FORMAT};
-use pearfork_layers::{Given, Key, Layers};
-use pearfork_match::nearest;
+use pearfork_layers::{Key, LayerValue, Layers};
+use pearfork_match::closest_match;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use toml::{Table, Value};
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct Provenance {
     resolved: String,
-    values: BTreeMap<Key, (String, Vec<Given>)>,
+    values: BTreeMap<Key, (String, Vec<LayerValue>)>,
     files: Vec<String>,
 }
 
@@ -50,7 +50,7 @@
         }
         let mut values = BTreeMap::new();
         let mut note = |key: Key, value: &Value| {
-            let given = layers.given(&key).to_vec();
+            let given = layers.values(&key).to_vec();
             values.insert(key, (written(value), given));
         };
         let effective = Table::try_from(file).unwrap_or_default();
@@ -97,7 +97,7 @@
             .collect();
         if found.is_empty() {
             let known: Vec<String> = self.values.keys().map(Key::to_string).collect();
-            let near = nearest(asked, known.iter().map(String::as_str)).map(str::to_owned);
+            let near = closest_match(asked, known.iter().map(String::as_str)).map(str::to_owned);
             return Err(UnknownKey { key: asked.to_owned(), near });
         }
         Ok(found)
--- a/crates/host/src/settings/routes.rs
+++ b/crates/host/src/settings/routes.rs
@@ -66,9 +66,9 @@
             Entry::Plan(i) => Key::of(&["plan", file.plan.get(i).map_or("", |p| &p.name)]),
             Entry::Rules => Key::of(&["rules"]),
         };
-        match self.layers.place(&at.child(key)) {
+        match self.layers.origin(&at.child(key)) {
             // With one file there is no need to say which.
-            Some(Origin::File { line, .. }) if self.layers.is_plain() => format!("line {line}"),
+            Some(Origin::File { line, .. }) if self.layers.is_single_file() => format!("line {line}"),
             Some(origin) => origin.to_string(),
             None => "line 1".to_owned(),
         }
--- a/crates/layers/src/file.rs
+++ b/crates/layers/src/file.rs
@@ -1,7 +1,7 @@
 //! Files and what they include.
 
 use crate::merge::{is_named, name_of};
-use crate::{Given, Key, LayerFault, Layers, Origin, Source, MAX_BYTES, MAX_DEPTH, MAX_FILES};
+use crate::{Key, LayerError, LayerValue, Layers, Origin, Source, MAX_BYTES, MAX_DEPTH, MAX_FILES};
 use std::path::Path;
 use toml::de::{DeTable, DeValue};
 use toml::{Spanned, Table, Value};
@@ -11,17 +11,17 @@
     pub(crate) exclusive: &'a [[&'a str; 3]],
     /// Files that are being read, the outermost first.
     pub(crate) open: Vec<String>,
-    pub(crate) faults: Vec<LayerFault>,
+    pub(crate) faults: Vec<LayerError>,
 }
 
 impl Gathering<'_> {
     /// Takes a file and, below it, what it includes. `path` leads to it from the caller's own file and is empty for that.
     pub(crate) fn file(&mut self, layers: &mut Layers, name: &str, path: &str, text: &str) {
         if text.len() > MAX_BYTES {
-            let why = format!("is longer than {MAX_BYTES} bytes");
-            return self.faults.push(LayerFault::Unreadable { file: name.to_owned(), why });
+            let reason = format!("is longer than {MAX_BYTES} bytes");
+            return self.faults.push(LayerError::Unreadable { file: name.to_owned(), reason });
         }
-        let syntax = |e: toml::de::Error| LayerFault::Syntax(format!("{name}: {e}"));
+        let syntax = |e: toml::de::Error| LayerError::Syntax(format!("{name}: {e}"));
         let mut table: Table = match toml::from_str(text) {
             Ok(table) => table,
             Err(e) => return self.faults.push(syntax(e)),
@@ -44,7 +44,7 @@
     }
 
     fn includes(&mut self, layers: &mut Layers, name: &str, path: &str, includes: &Value) {
-        let bad = |what: String| LayerFault::Include { file: name.to_owned(), what };
+        let bad = |message: String| LayerError::Include { file: name.to_owned(), message };
         let named: Option<Vec<&str>> =
             includes.as_array().and_then(|a| a.iter().map(Value::as_str).collect());
         let Some(named) = named else {
@@ -64,9 +64,9 @@
             } else {
                 match (self.read)(&inner) {
                     Ok(text) => self.file(layers, &inner, &inner, &text),
-                    Err(why) => {
+                    Err(reason) => {
                         let file = format!("{inner}, included by {name}");
-                        self.faults.push(LayerFault::Unreadable { file, why });
+                        self.faults.push(LayerError::Unreadable { file, reason });
                     }
                 }
             }
@@ -136,7 +136,7 @@
                 }
             }
             _ => {
-                let given = Given {
+                let given = LayerValue {
                     origin: self.origin(begins),
                     value: value.clone(),
                     span: Some((self.source, span.span())),
--- a/crates/layers/src/lib.rs
+++ b/crates/layers/src/lib.rs
@@ -10,10 +10,10 @@
 mod file;
 mod key;
 mod merge;
-mod over;
+mod overrides;
 
 pub use key::{Key, KeyError};
-pub use over::Overrides;
+pub use overrides::Overrides;
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
 
 /// A value as one layer gives it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Given {
+pub struct LayerValue {
     /// Where.
     pub origin: Origin,
     /// The value.
@@ -78,33 +78,33 @@
 
 /// What is wrong with the layers themselves.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LayerFault {
+pub enum LayerError {
     /// Not TOML; the text names the line.
     #[error("{0}")]
     Syntax(String),
     /// A file that can't be read.
-    #[error("{file}: {why}")]
+    #[error("{file}: {reason}")]
     Unreadable {
         /// Which, and who asks for it.
         file: String,
         /// What the machine says.
-        why: String,
+        reason: String,
     },
     /// Includes that can't be followed.
-    #[error("{file}, include: {what}")]
+    #[error("{file}, include: {message}")]
     Include {
         /// The file that includes.
         file: String,
         /// What is wrong.
-        what: String,
+        message: String,
     },
     /// A variable or flag that can't be taken.
-    #[error("{origin}: {what}")]
-    Over {
+    #[error("{origin}: {message}")]
+    Override {
         /// Which.
         origin: Origin,
         /// What is wrong.
-        what: String,
+        message: String,
     },
 }
 
@@ -115,7 +115,7 @@
     pub sources: Vec<Source>,
     /// What is left when later layers have hidden earlier ones. Without `include`.
     pub merged: toml::Table,
-    given: BTreeMap<Key, Vec<Given>>,
+    given: BTreeMap<Key, Vec<LayerValue>>,
     heads: BTreeMap<Key, Origin>,
     overridden: bool,
 }
@@ -126,13 +126,13 @@
     ///
     /// # Errors
     /// All that could be found; a file that is no TOML hides what it would have said.
-    pub fn gather(
+    pub fn load(
         name: &str,
         text: &str,
         read: &dyn Fn(&str) -> Result<String, String>,
         over: &Overrides,
         exclusive: &[[&str; 3]],
-    ) -> Result<Layers, Vec<LayerFault>> {
+    ) -> Result<Layers, Vec<LayerError>> {
         let mut layers = Layers::default();
         let mut gathering = file::Gathering { read, exclusive, open: Vec::new(), faults: Vec::new() };
         gathering.file(&mut layers, name, "", text);
@@ -148,25 +148,25 @@
     }
 
     /// Whether one file says it all.
-    pub fn is_plain(&self) -> bool {
+    pub fn is_single_file(&self) -> bool {
         self.sources.len() == 1 && !self.overridden
     }
 
     /// All layers that give a value, the one that counts last; empty where none does.
-    pub fn given(&self, key: &Key) -> &[Given] {
+    pub fn values(&self, key: &Key) -> &[LayerValue] {
         self.given.get(key).map_or(&[], Vec::as_slice)
     }
 
     /// All keys that are given.
-    pub fn keys(&self) -> impl Iterator<Item = (&Key, &[Given])> {
+    pub fn entries(&self) -> impl Iterator<Item = (&Key, &[LayerValue])> {
         self.given.iter().map(|(k, g)| (k, g.as_slice()))
     }
 
     /// Where a key stands: the value, or what it is within; `None` where not even that is given.
-    pub fn place(&self, key: &Key) -> Option<&Origin> {
+    pub fn origin(&self, key: &Key) -> Option<&Origin> {
         let mut at = Some(key.clone());
         while let Some(k) = at {
-            if let Some(given) = self.given(&k).last() {
+            if let Some(given) = self.values(&k).last() {
                 return Some(&given.origin);
             }
             if let Some(head) = self.heads.get(&k) {
@@ -177,7 +177,7 @@
         None
     }
 
-    fn note(&mut self, key: Key, given: Given) {
+    fn note(&mut self, key: Key, given: LayerValue) {
         self.given.entry(key).or_default().push(given);
     }
 
--- a/crates/layers/src/over.rs
+++ b/crates/layers/src/overrides.rs
@@ -1,7 +1,7 @@
 //! Variables of the environment and flags.
 
 use crate::merge::{is_named, name_of};
-use crate::{Given, Key, LayerFault, Layers, Origin};
+use crate::{Key, LayerError, LayerValue, Layers, Origin};
 use toml::{Table, Value};
 
 /// What goes over the files.
@@ -19,7 +19,7 @@
         Overrides { environment, flags }
     }
 
-    pub(crate) fn put(&self, layers: &mut Layers, exclusive: &[[&str; 3]], faults: &mut Vec<LayerFault>) {
+    pub(crate) fn put(&self, layers: &mut Layers, exclusive: &[[&str; 3]], faults: &mut Vec<LayerError>) {
         let mut environment = self.environment.clone();
         environment.sort();
         let variables = environment.iter().map(|(name, text)| {
@@ -40,8 +40,8 @@
         });
         for (origin, key, text, loose) in variables.chain(flags) {
             let put = key.and_then(|key| layers.put(&key, &value(text), loose, &origin, exclusive));
-            if let Err(what) = put {
-                faults.push(LayerFault::Over { origin, what });
+            if let Err(message) = put {
+                faults.push(LayerError::Override { origin, message });
             }
         }
     }
@@ -121,7 +121,7 @@
         self.hide_below(&own);
         hidden.iter().for_each(|h| self.forget(h));
         self.overridden = true;
-        self.note(own, Given { origin: origin.clone(), value: value.clone(), span: None });
+        self.note(own, LayerValue { origin: origin.clone(), value: value.clone(), span: None });
         Ok(())
     }
 }
--- a/crates/layers/tests/layers.rs
+++ b/crates/layers/tests/layers.rs
@@ -1,6 +1,6 @@
 //! Layers over layers: what counts, where it came from, and what is refused.
 
-use pearfork_layers::{Key, LayerFault, Layers, Origin, Overrides};
+use pearfork_layers::{Key, LayerError, Layers, Origin, Overrides};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,16 +11,16 @@
     files: &[(&str, &str)],
     environment: &[(&str, &str)],
     flags: &[&str],
-) -> Result<Layers, Vec<LayerFault>> {
+) -> Result<Layers, Vec<LayerError>> {
     let all: BTreeMap<&str, &str> = files.iter().copied().collect();
     let read = |path: &str| all.get(path).map(|t| (*t).to_owned()).ok_or("no such file".to_owned());
     let environment = environment.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
     let over = Overrides::new(environment, flags.iter().map(|f| (*f).to_owned()).collect());
-    Layers::gather(files[0].0, files[0].1, &read, &over, EXCLUSIVE)
+    Layers::load(files[0].0, files[0].1, &read, &over, EXCLUSIVE)
 }
 
 fn at(layers: &Layers, key: &str) -> Vec<(String, String)> {
-    let given = layers.given(&key.parse::<Key>().unwrap());
+    let given = layers.values(&key.parse::<Key>().unwrap());
     given.iter().map(|g| (g.origin.to_string(), g.value.to_string())).collect()
 }
 
@@ -40,7 +40,7 @@
         &["class.a.aim=600ms", "class.c.shards=[1, 2]"],
     )
     .unwrap();
-    assert!(!layers.is_plain());
+    assert!(!layers.is_single_file());
     let want: toml::Table = toml::from_str(
         "[rules]\ngrace = \"2s\"\nbudget = { free = 5, span = \"5s\" }\n[[class]]\nname = \"a\"\naim = \"600ms\"\n\
          [[class]]\nname = \"b\"\naim = \"2s\"\nworth = 2\n[[class]]\nname = \"c\"\naim = \"9s\"\nshards = [1, 2]\n",
@@ -64,7 +64,7 @@
     );
     assert_eq!(at(&layers, "class.b.worth"), own(&[("host.toml line 6", "2")]));
     // What is not given stands where its table does.
-    let place = |key: &str| layers.place(&key.parse().unwrap()).map(ToString::to_string);
+    let place = |key: &str| layers.origin(&key.parse().unwrap()).map(ToString::to_string);
     assert_eq!(place("class.c.deadline").as_deref(), Some("host.toml line 7"));
     assert_eq!(place("rules.budget.ratio").as_deref(), Some("base.toml line 3"));
     assert_eq!(place("nowhere.at.all"), None);
@@ -82,7 +82,7 @@
     let alone =
         gather(&[("host.toml", "[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n")], &[], &[]).unwrap();
     assert_eq!(alone.merged["class"].as_array().unwrap().len(), 2);
-    assert!(alone.is_plain());
+    assert!(alone.is_single_file());
 }
 
 #[test]
@@ -112,7 +112,7 @@
         Ok(text(path).to_owned())
     };
     let layers =
-        Layers::gather("host.toml", "include = [\"site/a.toml\"]\n", &reader, &Overrides::default(), &[])
+        Layers::load("host.toml", "include = [\"site/a.toml\"]\n", &reader, &Overrides::default(), &[])
             .unwrap();
     assert_eq!((layers.merged["x"].as_integer(), layers.merged["y"].as_integer()), (Some(1), Some(3)));
     assert_eq!(*read.borrow(), ["site/a.toml", "common.toml", "site/b.toml"]);
@@ -161,7 +161,7 @@
         let n: usize = path.trim_start_matches('f').trim_end_matches(".toml").parse().unwrap_or(0);
         Ok(format!("include = [\"f{}.toml\", \"f{}.toml\"]\n", 2 * n + 1, 2 * n + 2))
     };
-    let faults = Layers::gather("host.toml", "include = [\"f0.toml\"]\n", &read, &Overrides::default(), &[])
+    let faults = Layers::load("host.toml", "include = [\"f0.toml\"]\n", &read, &Overrides::default(), &[])
         .expect_err("a fault");
     assert!(*asked.borrow() < 5_000, "{} readings", asked.borrow());
     assert!(faults.iter().any(|f| f.to_string().contains("deep")), "{faults:?}");
@@ -174,7 +174,7 @@
         gather(&[("host.toml", text)], &[("PEARFORK__VOLUME__VISIT_NOTES_2__SIZE", "2GiB")], &[]).unwrap();
     assert_eq!(layers.merged["volume"][0]["size"].as_str(), Some("2GiB"));
     let origin = Origin::Variable("PEARFORK__VOLUME__VISIT_NOTES_2__SIZE".to_owned());
-    assert_eq!(layers.place(&Key::of(&["volume", "visit-notes.2", "size"])), Some(&origin));
+    assert_eq!(layers.origin(&Key::of(&["volume", "visit-notes.2", "size"])), Some(&origin));
 }
 
 proptest! {
@@ -190,7 +190,7 @@
         let main = format!("include = [\"b\"]\n{main}");
         if let Ok(layers) = gather(&[("m", &main), ("b", &base)], &[(&variable, &flag)], &[&flag]) {
             // Every value that is told counts, and is told with the value that it has.
-            for (key, given) in layers.keys() {
+            for (key, given) in layers.entries() {
                 let mut at = Some(&toml::Value::Table(layers.merged.clone())).cloned();
                 for part in key.parts() {
                     at = at.and_then(|v| match v {
--- a/crates/match/benches/rows.rs
+++ b/crates/match/benches/rows.rs
@@ -48,12 +48,12 @@
                 }
             };
             // A row is found, or the figures would be of something else.
-            assert!((0..64).all(|_| rules.class_number(&next()).is_some_and(|c| c < n)));
+            assert!((0..64).all(|_| rules.class_index(&next()).is_some_and(|c| c < n)));
             group.bench_function(BenchmarkId::new("tree", n), |b| {
-                b.iter(|| black_box(rules.class_number(&next())))
+                b.iter(|| black_box(rules.class_index(&next())))
             });
             group.bench_function(BenchmarkId::new("each row", n), |b| {
-                b.iter(|| black_box(rules.class_number_by_trying_each(&next())));
+                b.iter(|| black_box(rules.class_index_linear(&next())));
             });
         }
         group.finish();
--- a/crates/match/src/ast.rs
+++ b/crates/match/src/ast.rs
@@ -1,12 +1,12 @@
 //! The tree of a file, before types are known. Chains are lists, so that depth is bounded by brackets alone.
 
-use crate::fault::Place;
+use crate::diagnostic::Span;
 
 /// An expression and where it stands.
 #[derive(Clone, Debug)]
 pub(crate) struct Expr {
     pub(crate) kind: Kind,
-    pub(crate) place: Place,
+    pub(crate) span: Span,
 }
 
 impl Expr {
@@ -34,7 +34,7 @@
 pub(crate) enum Kind {
     Int(i64),
     Size(i64),
-    Span(i64),
+    Duration(i64),
     Bool(bool),
     Text(String),
     Name(String),
@@ -115,13 +115,13 @@
 pub(crate) struct Row {
     pub(crate) result: String,
     pub(crate) when: Option<Expr>,
-    pub(crate) place: Place,
+    pub(crate) span: Span,
 }
 
 /// A whole file.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct File {
-    pub(crate) lets: Vec<(String, Place, Expr)>,
+    pub(crate) lets: Vec<(String, Span, Expr)>,
     pub(crate) classes: Vec<Row>,
     pub(crate) plans: Vec<Row>,
     pub(crate) key: Option<Expr>,
--- a/crates/match/src/cover.rs
+++ b/crates/match/src/cover.rs
@@ -1,8 +1,8 @@
 //! Rows that can never match, and what an operation may reach: which requests are left when earlier rows had theirs.
 
 use crate::ast::Row;
+use crate::diagnostic::{Diagnostic, Span};
 use crate::domain::{Domain, Pattern};
-use crate::fault::{Fault, Place};
 use crate::program::{Field, FIELDS};
 use crate::region::{everything, Cell, Region};
 use std::collections::BTreeMap;
@@ -100,7 +100,7 @@
 }
 
 /// A warning for each row that no request can reach, as far as it can be told.
-pub(crate) fn unreached(rows: &[Row], regions: &[Region]) -> Vec<Fault> {
+pub(crate) fn unreached(rows: &[Row], regions: &[Region]) -> Vec<Diagnostic> {
     let mut out = Vec::new();
     let all = everything();
     let mut earlier = Earlier::new(regions);
@@ -108,9 +108,9 @@
     let (mut work, mut closed) = (0, None::<usize>);
     for (i, (row, region)) in rows.iter().zip(regions).enumerate() {
         let mut never = |why: &str, because: &[usize], label: &str| {
-            let told = Fault::new(row.place, format!("this row never matches: {why}"));
-            let places = because.iter().take(MOST_NAMED).map(|r| rows[*r].place);
-            out.push(places.fold(told, |f, p: Place| f.other(p, label)));
+            let told = Diagnostic::new(row.span, format!("this row never matches: {why}"));
+            let spans = because.iter().take(MOST_NAMED).map(|r| rows[*r].span);
+            out.push(spans.fold(told, |f, p: Span| f.label(p, label)));
         };
         if let Some(before) = closed {
             never("a row before it takes all requests", &[before], "takes all that comes to it");
--- a/crates/match/src/decide.rs
+++ b/crates/match/src/decide.rs
@@ -3,7 +3,7 @@
 use crate::domain::{Domain, Pattern};
 use crate::program::{Field, Fields, Program, Value, Watch, FIELDS};
 use crate::region::{Cell, Region};
-use crate::stab::{Prefixes, Spans};
+use crate::stab::{IntervalTree, PrefixTree};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
@@ -44,8 +44,8 @@
     field: Field,
     ints: FxHashMap<i64, Tree>,
     texts: FxHashMap<String, Tree>,
-    spans: Option<Spans<Tree>>,
-    prefixes: Option<Prefixes<Tree>>,
+    intervals: Option<IntervalTree<Tree>>,
+    prefixes: Option<PrefixTree<Tree>>,
     rest: Tree,
 }
 
@@ -54,7 +54,7 @@
 struct Dealt<'a> {
     ints: BTreeMap<i64, Vec<Entry<'a>>>,
     texts: BTreeMap<&'a str, Vec<Entry<'a>>>,
-    spans: Vec<(i64, i64, Entry<'a>)>,
+    intervals: Vec<(i64, i64, Entry<'a>)>,
     prefixes: BTreeMap<&'a str, Vec<Entry<'a>>>,
     rest: Vec<Entry<'a>>,
 }
@@ -67,7 +67,7 @@
                 Some(Domain::Ints(ranges)) if ranges.iter().all(|(a, b)| a == b) => {
                     ranges.iter().for_each(|(n, _)| out.ints.entry(*n).or_default().push(*e));
                 }
-                Some(Domain::Ints(ranges)) => out.spans.extend(ranges.iter().map(|(a, b)| (*a, *b, *e))),
+                Some(Domain::Ints(ranges)) => out.intervals.extend(ranges.iter().map(|(a, b)| (*a, *b, *e))),
                 Some(Domain::Texts(patterns)) => {
                     for p in patterns {
                         match p {
@@ -87,8 +87,8 @@
         fn most<'a, K>(by: &BTreeMap<K, Vec<Entry<'a>>>) -> usize {
             by.values().map(Vec::len).max().unwrap_or(0)
         }
-        let mut ends: Vec<(i64, i64)> = Vec::with_capacity(2 * self.spans.len());
-        for (from, to, _) in &self.spans {
+        let mut ends: Vec<(i64, i64)> = Vec::with_capacity(2 * self.intervals.len());
+        for (from, to, _) in &self.intervals {
             ends.push((*from, 1));
             ends.extend(to.checked_add(1).map(|end| (end, -1)));
         }
@@ -98,7 +98,7 @@
             open += step;
             open
         });
-        let spans = depth.max().unwrap_or(0).max(0) as usize;
+        let intervals = depth.max().unwrap_or(0).max(0) as usize;
         // Prefixes that begin each other add up; in order, what begins a text stands before it.
         let (mut path, mut within, mut prefixes) = (Vec::<(&str, usize)>::new(), 0, 0);
         for (prefix, entries) in &self.prefixes {
@@ -109,16 +109,16 @@
             path.push((prefix, entries.len()));
             prefixes = prefixes.max(within);
         }
-        most(&self.ints) + most(&self.texts) + spans + prefixes + self.rest.len()
+        most(&self.ints) + most(&self.texts) + intervals + prefixes + self.rest.len()
     }
 
     fn placed(&self) -> usize {
         let all = |by: &mut dyn Iterator<Item = &Vec<Entry<'a>>>| by.map(Vec::len).sum::<usize>();
-        let logs = usize::BITS - self.spans.len().leading_zeros();
+        let logs = usize::BITS - self.intervals.len().leading_zeros();
         all(&mut self.ints.values())
             + all(&mut self.texts.values())
             + all(&mut self.prefixes.values())
-            + self.spans.len() * logs as usize
+            + self.intervals.len() * logs as usize
             + self.rest.len()
     }
 }
@@ -150,13 +150,14 @@
         let rest = self.tree(dealt.rest);
         let ints = dealt.ints.into_iter().map(|(n, es)| (n, self.tree(es))).collect();
         let texts = dealt.texts.into_iter().map(|(t, es)| (t.to_owned(), self.tree(es))).collect();
-        let spans = (!dealt.spans.is_empty()).then(|| Spans::build(&dealt.spans, |es| self.tree(es)));
+        let intervals =
+            (!dealt.intervals.is_empty()).then(|| IntervalTree::build(&dealt.intervals, |es| self.tree(es)));
         let prefixes = (!dealt.prefixes.is_empty()).then(|| {
             let all = dealt.prefixes.into_iter().map(|(t, es)| (t.to_owned(), self.tree(es)));
-            Prefixes::build(all.collect())
+            PrefixTree::build(all.collect())
         });
         self.used.pop();
-        Tree::Split(Box::new(Split { field, ints, texts, spans, prefixes, rest }))
+        Tree::Split(Box::new(Split { field, ints, texts, intervals, prefixes, rest }))
     }
 }
 
@@ -215,9 +216,9 @@
                 if let Some(tree) = split.ints.get(&n) {
                     best = tree.first(fields, best, watch, holds);
                 }
-                if let Some(spans) = &split.spans {
-                    watch.steps(|| spans.steps());
-                    for tree in spans.holding(n) {
+                if let Some(intervals) = &split.intervals {
+                    watch.steps(|| intervals.steps());
+                    for tree in intervals.holding(n) {
                         best = tree.first(fields, best, watch, holds);
                     }
                 }
@@ -234,7 +235,7 @@
             Tree::Split(s) => {
                 s.ints.values().map(of).max().unwrap_or(0)
                     + s.texts.values().map(of).max().unwrap_or(0)
-                    + s.spans.as_ref().map_or(0, |x| x.steps() + x.worst(&of))
+                    + s.intervals.as_ref().map_or(0, |x| x.steps() + x.worst(&of))
                     + s.prefixes.as_ref().map_or(0, |x| Program::TEXT_STEPS + x.worst(&of))
                     + s.rest.worst(row)
             }
--- a/crates/match/src/fault.rs
+++ b/crates/match/src/diagnostic.rs
@@ -5,21 +5,21 @@
 
 /// A range of bytes of the file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Span {
     /// First byte.
-    pub from: usize,
+    pub start: usize,
     /// Past the last one.
-    pub to: usize,
+    pub end: usize,
 }
 
-impl Place {
+impl Span {
     /// From the start of one to the end of another.
-    pub(crate) fn upto(self, end: Place) -> Place {
-        Place { from: self.from, to: end.to.max(self.to) }
+    pub(crate) fn to(self, last: Span) -> Span {
+        Span { start: self.start, end: last.end.max(self.end) }
     }
 
-    fn moved(self, by: usize) -> Place {
-        Place { from: self.from + by, to: self.to + by }
+    fn shifted(self, by: usize) -> Span {
+        Span { start: self.start + by, end: self.end + by }
     }
 
     /// As the renderer takes it: within the text, on the edges of characters.
@@ -31,44 +31,44 @@
             }
             at
         };
-        let from = edge(self.from, |n| n - 1);
-        from..edge(self.to, |n| n + 1).max(from)
+        let from = edge(self.start, |n| n - 1);
+        from..edge(self.end, |n| n + 1).max(from)
     }
 }
 
 /// One fault, or one warning.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where.
-    pub place: Place,
+    pub span: Span,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// What would be accepted, or is near.
     pub help: Option<String>,
     /// Other places that have to do with it.
-    pub others: Vec<(Place, String)>,
+    pub labels: Vec<(Span, String)>,
 }
 
-impl Fault {
+impl Diagnostic {
     /// A fault at a place.
-    pub fn new(place: Place, what: impl Into<String>) -> Fault {
-        Fault { place, what: what.into(), help: None, others: Vec::new() }
+    pub fn new(span: Span, message: impl Into<String>) -> Diagnostic {
+        Diagnostic { span, message: message.into(), help: None, labels: Vec::new() }
     }
 
     /// The same with what would be right.
-    pub fn help(mut self, help: impl Into<String>) -> Fault {
+    pub fn help(mut self, help: impl Into<String>) -> Diagnostic {
         self.help = Some(help.into());
         self
     }
 
-    pub(crate) fn other(mut self, place: Place, what: impl Into<String>) -> Fault {
-        self.others.push((place, what.into()));
+    pub(crate) fn label(mut self, span: Span, message: impl Into<String>) -> Diagnostic {
+        self.labels.push((span, message.into()));
         self
     }
 }
 
 /// A known word that was probably meant.
-pub fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub fn closest_match<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let near = known.map(|k| (strsim::damerau_levenshtein(word, k), k)).min()?;
     (near.0 <= (word.len() / 3).max(1)).then_some(near.1)
 }
@@ -80,33 +80,33 @@
 
 /// How grave what is shown is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gravity {
+pub enum Severity {
     /// The file is refused.
-    Fault,
+    Error,
     /// The file is taken, and does probably not what was meant.
     Warning,
 }
 
 /// Faults of a file, in the order of their places.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct Diagnostics(pub Vec<Diagnostic>);
 
-impl Faults {
+impl Diagnostics {
     /// The same in a file in which the rules begin at byte `offset`.
-    pub fn within(mut self, offset: usize) -> Faults {
-        for fault in &mut self.0 {
-            fault.place = fault.place.moved(offset);
-            fault.others.iter_mut().for_each(|o| o.0 = o.0.moved(offset));
+    pub fn shifted(mut self, offset: usize) -> Diagnostics {
+        for diagnostic in &mut self.0 {
+            diagnostic.span = diagnostic.span.shifted(offset);
+            diagnostic.labels.iter_mut().for_each(|o| o.0 = o.0.shifted(offset));
         }
         self
     }
 
     /// In words, with line, column and the piece underlined.
-    pub fn render(&self, name: &str, text: &[u8], gravity: Gravity) -> String {
+    pub fn render(&self, name: &str, text: &[u8], severity: Severity) -> String {
         let text = String::from_utf8_lossy(text);
         let renderer = Renderer::plain().term_width(COLUMNS);
         let mut out: Vec<String> =
-            self.0.iter().take(MOST_SHOWN).map(|f| render(f, name, &text, gravity, &renderer)).collect();
+            self.0.iter().take(MOST_SHOWN).map(|f| render(f, name, &text, severity, &renderer)).collect();
         if self.0.len() > MOST_SHOWN {
             out.push(format!("and {} more", self.0.len() - MOST_SHOWN));
         }
@@ -114,16 +114,22 @@
     }
 }
 
-fn render(fault: &Fault, name: &str, text: &str, gravity: Gravity, renderer: &Renderer) -> String {
-    let level = match gravity {
-        Gravity::Fault => Level::ERROR,
-        Gravity::Warning => Level::WARNING,
+fn render(
+    diagnostic: &Diagnostic,
+    name: &str,
+    text: &str,
+    severity: Severity,
+    renderer: &Renderer,
+) -> String {
+    let level = match severity {
+        Severity::Error => Level::ERROR,
+        Severity::Warning => Level::WARNING,
     };
-    let main = AnnotationKind::Primary.span(fault.place.range(text));
-    let others = fault.others.iter().map(|(p, w)| AnnotationKind::Context.span(p.range(text)).label(w));
+    let main = AnnotationKind::Primary.span(diagnostic.span.range(text));
+    let others = diagnostic.labels.iter().map(|(p, w)| AnnotationKind::Context.span(p.range(text)).label(w));
     let snippet = Snippet::source(text).path(name).annotation(main).annotations(others);
-    let mut group = level.primary_title(&fault.what).element(snippet);
-    if let Some(help) = &fault.help {
+    let mut group = level.primary_title(&diagnostic.message).element(snippet);
+    if let Some(help) = &diagnostic.help {
         group = group.element(Level::HELP.message(help));
     }
     renderer.render(&[group])
--- a/crates/match/src/format.rs
+++ b/crates/match/src/format.rs
@@ -1,6 +1,6 @@
 //! One way to write a file: spaces, line breaks and blank lines; not a token and not a comment changes.
 
-use crate::fault::Faults;
+use crate::diagnostic::Diagnostics;
 use crate::lex::{lex, Token};
 use crate::parse::{Parser, WORDS};
 
@@ -12,24 +12,24 @@
 ///
 /// # Errors
 /// Faults of form; types and names are not looked at.
-pub fn format(text: &[u8]) -> Result<String, Faults> {
+pub fn format(text: &[u8]) -> Result<String, Diagnostics> {
     let text = crate::rules::as_text(text)?;
-    let mut faults = Vec::new();
-    let tokens = lex(text, &mut faults);
-    Parser::new(&tokens, &mut faults).file();
-    if !faults.is_empty() {
-        faults.sort_by_key(|f| (f.place.from, f.place.to));
-        return Err(Faults(faults));
+    let mut diagnostics = Vec::new();
+    let tokens = lex(text, &mut diagnostics);
+    Parser::new(&tokens, &mut diagnostics).file();
+    if !diagnostics.is_empty() {
+        diagnostics.sort_by_key(|f| (f.span.start, f.span.end));
+        return Err(Diagnostics(diagnostics));
     }
     let mut out = Writer::default();
     let mut before = 0;
-    for (i, (token, place)) in tokens.iter().enumerate() {
-        out.gap(&text[before..place.from]);
+    for (i, (token, span)) in tokens.iter().enumerate() {
+        out.gap(&text[before..span.start]);
         if *token != Token::End {
             let next = tokens.get(i + 1).map_or(&Token::End, |t| &t.0);
-            out.token(token, &text[place.from..place.to], next);
+            out.token(token, &text[span.start..span.end], next);
         }
-        before = place.to;
+        before = span.end;
     }
     Ok(out.end())
 }
@@ -185,7 +185,7 @@
         let long = format!("class \"a\" if {};", ["volume == \"a-name-of-some-length\""; 8].join(" or "));
         let lines = format(long.as_bytes()).unwrap();
         assert!(lines.lines().count() == 4 && lines.lines().all(|l| l.len() <= COLUMNS), "{lines}");
-        assert!(format(b"class \"a\" if").unwrap_err().0[0].what.contains("expected a value"));
+        assert!(format(b"class \"a\" if").unwrap_err().0[0].message.contains("expected a value"));
     }
 
     #[test]
--- a/crates/match/src/key.rs
+++ b/crates/match/src/key.rs
@@ -8,40 +8,40 @@
 
 /// What a key is made from, over and above volume, plan and target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeyUse {
+pub struct KeyDependencies {
     /// Fields by which two requests for one block may differ.
-    pub differing: BTreeSet<&'static str>,
+    pub varying_fields: BTreeSet<&'static str>,
     /// Blocks of each run that `lba / N` cuts the volume into.
-    pub runs: BTreeSet<u64>,
+    pub lba_divisors: BTreeSet<u64>,
     /// Whether `lba` is used in any other way, so that two blocks side by side may have two keys.
-    pub by_block: bool,
+    pub lba_undivided: bool,
 }
 
-impl KeyUse {
-    pub(crate) fn of(key: &Expr, lets: &[(String, crate::Place, Expr)], known: &Known) -> KeyUse {
-        let mut uses: HashMap<&str, KeyUse> = HashMap::new();
+impl KeyDependencies {
+    pub(crate) fn of(key: &Expr, lets: &[(String, crate::Span, Expr)], known: &Known) -> KeyDependencies {
+        let mut uses: HashMap<&str, KeyDependencies> = HashMap::new();
         for (name, _, value) in lets {
-            let mut one = KeyUse::default();
+            let mut one = KeyDependencies::default();
             one.read(value, &uses, known);
             uses.insert(name, one);
         }
-        let mut out = KeyUse::default();
+        let mut out = KeyDependencies::default();
         out.read(key, &uses, known);
         out
     }
 
-    fn read(&mut self, e: &Expr, lets: &HashMap<&str, KeyUse>, known: &Known) {
+    fn read(&mut self, e: &Expr, lets: &HashMap<&str, KeyDependencies>, known: &Known) {
         let mut all = |es: &mut dyn Iterator<Item = &Expr>| es.for_each(|e| self.read(e, lets, known));
         match &e.kind {
             Kind::Name(name) => match FIELDS.iter().find(|f| f.0 == name) {
                 Some((_, Field::Volume | Field::Plan | Field::Lun | Field::Target, _)) => {}
-                Some((_, Field::Lba, _)) => self.by_block = true,
-                Some((name, _, _)) => drop(self.differing.insert(name)),
+                Some((_, Field::Lba, _)) => self.lba_undivided = true,
+                Some((name, _, _)) => drop(self.varying_fields.insert(name)),
                 None => {
                     if let Some(one) = lets.get(name.as_str()) {
-                        self.differing.extend(&one.differing);
-                        self.runs.extend(&one.runs);
-                        self.by_block |= one.by_block;
+                        self.varying_fields.extend(&one.varying_fields);
+                        self.lba_divisors.extend(&one.lba_divisors);
+                        self.lba_undivided |= one.lba_undivided;
                     }
                 }
             },
@@ -54,7 +54,7 @@
                 };
                 match run {
                     Some(blocks) => {
-                        self.runs.insert(blocks);
+                        self.lba_divisors.insert(blocks);
                         rest.iter().skip(1).for_each(|(_, t)| self.read(t, lets, known));
                     }
                     None => all(&mut std::iter::once(&**first).chain(rest.iter().map(|r| &r.1))),
@@ -65,24 +65,24 @@
             Kind::Compare(_, a, b) => all(&mut [&**a, &**b].into_iter()),
             Kind::In(a, b) => all(&mut std::iter::once(&**a).chain(b)),
             Kind::If(a, b, c) => all(&mut [&**a, &**b, &**c].into_iter()),
-            Kind::Int(_) | Kind::Size(_) | Kind::Span(_) | Kind::Bool(_) | Kind::Text(_) | Kind::Bad => {}
+            Kind::Int(_) | Kind::Size(_) | Kind::Duration(_) | Kind::Bool(_) | Kind::Text(_) | Kind::Bad => {}
         }
     }
 
     /// What is wrong with the key where it orders requests over extents of so many blocks.
-    pub fn troubles(&self, extent_blocks: u64) -> Vec<String> {
+    pub fn conflicts(&self, extent_blocks: u64) -> Vec<String> {
         let mut out = Vec::new();
-        if !self.differing.is_empty() {
-            let fields: Vec<&str> = self.differing.iter().copied().collect();
+        if !self.varying_fields.is_empty() {
+            let fields: Vec<&str> = self.varying_fields.iter().copied().collect();
             out.push(format!(
                 "two requests for one block may differ in {} and so have two keys",
                 fields.join(", ")
             ));
         }
-        if self.by_block {
+        if self.lba_undivided {
             out.push("`lba` other than in `lba / N`: blocks of one command may have two keys".to_owned());
         }
-        for run in self.runs.iter().filter(|n| **n == 0 || **n % extent_blocks.max(1) != 0) {
+        for run in self.lba_divisors.iter().filter(|n| **n == 0 || **n % extent_blocks.max(1) != 0) {
             out.push(format!(
                 "`lba / {run}`: {run} is no multiple of the extent's {extent_blocks} blocks, so blocks of one command may \
                  have two keys"
--- a/crates/match/src/lib.rs
+++ b/crates/match/src/lib.rs
@@ -24,8 +24,8 @@
 mod check;
 mod cover;
 mod decide;
+mod diagnostic;
 mod domain;
-mod fault;
 mod format;
 mod key;
 mod lex;
@@ -35,11 +35,11 @@
 mod rules;
 mod stab;
 
-pub use fault::{nearest, Fault, Faults, Gravity, Place};
+pub use diagnostic::{closest_match, Diagnostic, Diagnostics, Severity, Span};
 pub use format::format;
-pub use key::KeyUse;
+pub use key::KeyDependencies;
 pub use program::Fields;
-pub use rules::{Explained, Rules, Test, Tried};
+pub use rules::{Explanation, RowTrace, Rules, TestTrace};
 
 #[cfg(test)]
 mod tests;
--- a/crates/match/src/parse.rs
+++ b/crates/match/src/parse.rs
@@ -1,20 +1,20 @@
 //! Tokens to a tree. After a fault it goes on behind the next `;`, so that all faults of a file are told.
 
 use crate::ast::{Arith, Comparison, Expr, File, Kind, Row};
-use crate::fault::{nearest, Fault, Place};
+use crate::diagnostic::{closest_match, Diagnostic, Span};
 use crate::lex::Token;
 
 /// Brackets, `not` and `if` within each other at the most. Danger: depth is stack, here and in all that walks a tree.
 pub(crate) const MAX_DEPTH: usize = 64;
 
 pub(crate) struct Parser<'a> {
-    tokens: &'a [(Token, Place)],
+    tokens: &'a [(Token, Span)],
     at: usize,
     depth: usize,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
 }
 
-type Parsed<T> = Result<T, Fault>;
+type Parsed<T> = Result<T, Diagnostic>;
 
 const COMPARISONS: [(&str, Comparison); 6] = [
     ("==", Comparison::Equal),
@@ -29,15 +29,15 @@
 
 impl<'a> Parser<'a> {
     /// `tokens` ends with [`Token::End`].
-    pub(crate) fn new(tokens: &'a [(Token, Place)], faults: &'a mut Vec<Fault>) -> Self {
-        Parser { tokens, at: 0, depth: 0, faults }
+    pub(crate) fn new(tokens: &'a [(Token, Span)], diagnostics: &'a mut Vec<Diagnostic>) -> Self {
+        Parser { tokens, at: 0, depth: 0, diagnostics }
     }
 
     fn peek(&self) -> &Token {
         &self.tokens[self.at.min(self.tokens.len() - 1)].0
     }
 
-    fn place(&self) -> Place {
+    fn span(&self) -> Span {
         self.tokens[self.at.min(self.tokens.len() - 1)].1
     }
 
@@ -61,20 +61,20 @@
         is
     }
 
-    fn wanted<T>(&self, what: &str) -> Parsed<T> {
-        Err(self.unwanted(what))
+    fn wanted<T>(&self, message: &str) -> Parsed<T> {
+        Err(self.unwanted(message))
     }
 
-    fn unwanted(&self, what: &str) -> Fault {
+    fn unwanted(&self, message: &str) -> Diagnostic {
         let got = match self.peek() {
             Token::End => "the end of the file".to_owned(),
             Token::Name(n) => format!("`{n}`"),
             Token::Sign(s) => format!("`{s}`"),
             Token::Text(_) => "a text".to_owned(),
-            Token::Int(_) | Token::Size(_) | Token::Span(_) => "a number".to_owned(),
+            Token::Int(_) | Token::Size(_) | Token::Duration(_) => "a number".to_owned(),
             Token::Bad => "this".to_owned(),
         };
-        Fault::new(self.place(), format!("expected {what}, found {got}"))
+        Diagnostic::new(self.span(), format!("expected {message}, found {got}"))
     }
 
     fn sign(&mut self, sign: &str) -> Parsed<()> {
@@ -98,7 +98,7 @@
         while *self.peek() != Token::End {
             self.depth = 0;
             let start = self.at;
-            if let Err(fault) = self.item(&mut file) {
+            if let Err(diagnostic) = self.item(&mut file) {
                 // Words that no expression holds begin the next item even where a `;` is missing.
                 let begins =
                     |t: &Token| matches!(t, Token::Name(n) if ["let", "class", "key"].contains(&n.as_str()));
@@ -111,7 +111,7 @@
                 // What follows from a piece that was told already is not told again.
                 let end = self.at.min(self.tokens.len());
                 if !self.tokens[start..end].iter().any(|t| t.0 == Token::Bad) {
-                    self.faults.push(fault);
+                    self.diagnostics.push(diagnostic);
                 }
             }
         }
@@ -119,9 +119,9 @@
     }
 
     fn item(&mut self, file: &mut File) -> Parsed<()> {
-        let start = self.place();
+        let start = self.span();
         if self.take_word("let") {
-            let place = self.place();
+            let span = self.span();
             let Token::Name(name) = self.peek().clone() else { return self.wanted("a name") };
             if WORDS.contains(&name.as_str()) || name == "false" {
                 return self.wanted("a name that is no word of the language");
@@ -130,7 +130,7 @@
             self.sign("=")?;
             let value = self.expr()?;
             self.close()?;
-            file.lets.push((name, place, value));
+            file.lets.push((name, span, value));
         } else if self.is_word("class") || self.is_word("plan") {
             let plans = self.take_word("plan");
             self.at += usize::from(!plans);
@@ -146,7 +146,7 @@
                 self.word("if")?;
                 Some(self.expr()?)
             };
-            let row = Row { result, when, place: start.upto(self.tokens[self.at - 1].1) };
+            let row = Row { result, when, span: start.to(self.tokens[self.at - 1].1) };
             self.close()?;
             if plans { &mut file.plans } else { &mut file.classes }.push(row);
         } else if self.take_word("key") {
@@ -154,20 +154,20 @@
             let key = self.expr()?;
             self.close()?;
             if let Some(first) = &file.key {
-                let fault = Fault::new(start, "a second `key`; a request has one");
-                self.faults.push(fault.other(first.place, "the first"));
+                let diagnostic = Diagnostic::new(start, "a second `key`; a request has one");
+                self.diagnostics.push(diagnostic.label(first.span, "the first"));
             } else {
                 file.key = Some(key);
             }
         } else {
             let near = match self.peek() {
-                Token::Name(n) => nearest(n, ["let", "class", "plan", "key"].into_iter()),
+                Token::Name(n) => closest_match(n, ["let", "class", "plan", "key"].into_iter()),
                 _ => None,
             };
-            let fault = self.unwanted("`let`, `class`, `plan` or `key`");
+            let diagnostic = self.unwanted("`let`, `class`, `plan` or `key`");
             return Err(match near {
-                Some(word) => fault.help(format!("did you mean `{word}`?")),
-                None => fault,
+                Some(word) => diagnostic.help(format!("did you mean `{word}`?")),
+                None => diagnostic,
             });
         }
         Ok(())
@@ -178,24 +178,24 @@
         if self.take_sign(";") {
             return Ok(());
         }
-        let fault = self.unwanted("`;`");
+        let diagnostic = self.unwanted("`;`");
         let behind_number = self.at > 0
             && matches!(self.tokens[self.at - 1].0, Token::Int(_))
             && matches!(self.peek(), Token::Name(_));
         Err(if self.is_sign("=") {
-            fault.help("`==` compares")
+            diagnostic.help("`==` compares")
         } else if COMPARISONS.iter().any(|c| self.is_sign(c.0)) {
-            fault.help("two comparisons are joined by `and`")
+            diagnostic.help("two comparisons are joined by `and`")
         } else if behind_number {
-            fault.help("a unit stands right behind its number")
+            diagnostic.help("a unit stands right behind its number")
         } else {
-            fault
+            diagnostic
         })
     }
 
     fn deeper<T>(&mut self, inner: impl FnOnce(&mut Self) -> Parsed<T>) -> Parsed<T> {
         if self.depth >= MAX_DEPTH {
-            return Err(Fault::new(self.place(), format!("nested deeper than {MAX_DEPTH}"))
+            return Err(Diagnostic::new(self.span(), format!("nested deeper than {MAX_DEPTH}"))
                 .help("give parts of it names with `let`"));
         }
         self.depth += 1;
@@ -206,15 +206,15 @@
 
     fn expr(&mut self) -> Parsed<Expr> {
         self.deeper(|p| {
-            let start = p.place();
+            let start = p.span();
             if p.take_word("if") {
                 let test = p.expr()?;
                 p.word("then")?;
                 let yes = p.expr()?;
                 p.word("else")?;
                 let no = p.expr()?;
-                let place = start.upto(no.place);
-                return Ok(Expr { kind: Kind::If(Box::new(test), Box::new(yes), Box::new(no)), place });
+                let span = start.to(no.span);
+                return Ok(Expr { kind: Kind::If(Box::new(test), Box::new(yes), Box::new(no)), span });
             }
             p.any()
         })
@@ -237,11 +237,11 @@
     }
 
     fn negated(&mut self) -> Parsed<Expr> {
-        let start = self.place();
+        let start = self.span();
         if self.take_word("not") {
             let inner = self.deeper(Self::negated)?;
-            let place = start.upto(inner.place);
-            return Ok(Expr { kind: Kind::Not(Box::new(inner)), place });
+            let span = start.to(inner.span);
+            return Ok(Expr { kind: Kind::Not(Box::new(inner)), span });
         }
         self.compared()
     }
@@ -259,17 +259,17 @@
                 }
                 items.push(self.atom()?);
             }
-            let place = left.place.upto(self.place());
+            let span = left.span.to(self.span());
             self.sign("]")?;
-            return Ok(Expr { kind: Kind::In(Box::new(left), items), place });
+            return Ok(Expr { kind: Kind::In(Box::new(left), items), span });
         }
         let Some((sign, c)) = COMPARISONS.iter().find(|(s, _)| self.is_sign(s)) else { return Ok(left) };
         self.take_sign(sign);
         let right = self.chain(&[("+", Arith::Add), ("-", Arith::Sub)], |p| {
             p.chain(&[("*", Arith::Mul), ("/", Arith::Div), ("%", Arith::Rem)], Self::atom)
         })?;
-        let place = left.place.upto(right.place);
-        Ok(Expr { kind: Kind::Compare(*c, Box::new(left), Box::new(right)), place })
+        let span = left.span.to(right.span);
+        Ok(Expr { kind: Kind::Compare(*c, Box::new(left), Box::new(right)), span })
     }
 
     fn chain(
@@ -284,23 +284,23 @@
             rest.push((*op, term(self)?));
         }
         let Some((_, last)) = rest.last() else { return Ok(first) };
-        let place = first.place.upto(last.place);
-        Ok(Expr { kind: Kind::Chain(Box::new(first), rest), place })
+        let span = first.span.to(last.span);
+        Ok(Expr { kind: Kind::Chain(Box::new(first), rest), span })
     }
 
     fn atom(&mut self) -> Parsed<Expr> {
-        let (token, place) = (self.peek().clone(), self.place());
+        let (token, span) = (self.peek().clone(), self.span());
         let kind = match token {
             Token::Int(n) => Kind::Int(n),
             Token::Size(n) => Kind::Size(n),
-            Token::Span(n) => Kind::Span(n),
+            Token::Duration(n) => Kind::Duration(n),
             Token::Text(t) => Kind::Text(t),
             Token::Bad => Kind::Bad,
             Token::Name(n) if n == "true" || n == "false" => Kind::Bool(n == "true"),
             Token::Name(n) if !WORDS.contains(&n.as_str()) || n == "plan" => {
                 self.at += 1;
                 if !self.take_sign("(") {
-                    return Ok(Expr { kind: Kind::Name(n), place });
+                    return Ok(Expr { kind: Kind::Name(n), span });
                 }
                 let mut arguments = Vec::new();
                 while !self.is_sign(")") {
@@ -309,27 +309,27 @@
                         break;
                     }
                 }
-                let place = place.upto(self.place());
+                let span = span.to(self.span());
                 self.sign(")")?;
-                return Ok(Expr { kind: Kind::Call(n, arguments), place });
+                return Ok(Expr { kind: Kind::Call(n, arguments), span });
             }
             Token::Sign("(") => {
                 self.at += 1;
                 let inner = self.expr()?;
-                let end = self.place();
-                self.sign(")").map_err(|f| f.other(place, "this bracket is open"))?;
-                return Ok(Expr { place: place.upto(end), ..inner });
+                let end = self.span();
+                self.sign(")").map_err(|f| f.label(span, "this bracket is open"))?;
+                return Ok(Expr { span: span.to(end), ..inner });
             }
             _ => return self.wanted("a value"),
         };
         self.at += 1;
-        Ok(Expr { kind, place })
+        Ok(Expr { kind, span })
     }
 }
 
 fn several(mut terms: Vec<Expr>, kind: fn(Vec<Expr>) -> Kind) -> Expr {
-    match (terms.len(), terms.first().map(|t| t.place), terms.last().map(|t| t.place)) {
-        (2.., Some(first), Some(last)) => Expr { place: first.upto(last), kind: kind(terms) },
+    match (terms.len(), terms.first().map(|t| t.span), terms.last().map(|t| t.span)) {
+        (2.., Some(first), Some(last)) => Expr { span: first.to(last), kind: kind(terms) },
         _ => terms.remove(0),
     }
 }
--- a/crates/match/src/program.rs
+++ b/crates/match/src/program.rs
@@ -1,7 +1,7 @@
 //! The flat program and its machine. Jumps go forward only, so that a program ends after as many steps as it is long.
 
 use crate::ast::{Arith, Comparison};
-use crate::fault::Place;
+use crate::diagnostic::Span;
 
 /// What an expression sees of a request. Texts count up to their 255th byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 pub(crate) enum Type {
     Int,
     Size,
-    Span,
+    Duration,
     Text,
     Bool,
 }
@@ -69,7 +69,7 @@
         f.write_str(match self {
             Type::Int => "a number",
             Type::Size => "a size",
-            Type::Span => "a time",
+            Type::Duration => "a time",
             Type::Text => "a text",
             Type::Bool => "true or false",
         })
@@ -90,7 +90,7 @@
     ("target", Field::Target, Type::Text),
     ("group", Field::Group, Type::Int),
     ("fua", Field::Fua, Type::Bool),
-    ("time", Field::Time, Type::Span),
+    ("time", Field::Time, Type::Duration),
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -201,7 +201,7 @@
 pub(crate) struct Program {
     pub(crate) ops: Vec<Op>,
     /// What each operation was written as.
-    pub(crate) places: Vec<Place>,
+    pub(crate) spans: Vec<Span>,
     pub(crate) constants: Vec<Constant>,
     pub(crate) sets: Vec<Set>,
     pub(crate) globs: Vec<Glob>,
@@ -216,7 +216,7 @@
     /// So many steps are taken.
     fn steps(&mut self, _cost: impl FnOnce() -> u64) {}
     /// A test gave an answer about some values.
-    fn test(&mut self, _place: Place, _of: &[Value<'_>], _gave: bool) {}
+    fn test(&mut self, _place: Span, _of: &[Value<'_>], _gave: bool) {}
 }
 
 /// For the path of requests, where looking on costs nothing.
@@ -373,16 +373,16 @@
                         Op::Let(slot) => lets.get(usize::from(*slot)).copied().unwrap_or(last),
                         _ => last,
                     };
-                    if let Value::Bool(gave) = value {
-                        watch.test(self.places[at - 1], &[], gave);
+                    if let Value::Bool(outcome) = value {
+                        watch.test(self.spans[at - 1], &[], outcome);
                     }
                     push(&mut top, &mut stack, value);
                 }
                 Op::CompareField(c, field, constant) | Op::CompareFieldText(c, field, constant) => {
                     let of = [fields.value(*field), self.constants[*constant as usize].value()];
-                    let gave = compare(*c, of[0], of[1]);
-                    watch.test(self.places[at - 1], &of, gave);
-                    push(&mut top, &mut stack, Value::Bool(gave));
+                    let outcome = compare(*c, of[0], of[1]);
+                    watch.test(self.spans[at - 1], &of, outcome);
+                    push(&mut top, &mut stack, Value::Bool(outcome));
                 }
                 Op::Jump(to) => at = *to as usize,
                 Op::ElseKeep(to) | Op::OrKeep(to) => {
@@ -404,9 +404,9 @@
                     let left = &mut stack[top.saturating_sub(1)];
                     *left = match op {
                         Op::Compare(c) | Op::CompareText(c) => {
-                            let gave = compare(*c, *left, last);
-                            watch.test(self.places[at - 1], &[*left, last], gave);
-                            Value::Bool(gave)
+                            let outcome = compare(*c, *left, last);
+                            watch.test(self.spans[at - 1], &[*left, last], outcome);
+                            Value::Bool(outcome)
                         }
                         Op::Arith(a) => Value::Int(arith(*a, *left, last)),
                         _ => *left,
@@ -424,11 +424,11 @@
                 | Op::EndsWith(_)
                 | Op::Contains(_)
                 | Op::Glob(_) => {
-                    let gave = self.test(op, last);
+                    let outcome = self.test(op, last);
                     if !matches!(op, Op::Not) {
-                        watch.test(self.places[at - 1], &[last], gave);
+                        watch.test(self.spans[at - 1], &[last], outcome);
                     }
-                    stack[top.saturating_sub(1)] = Value::Bool(gave);
+                    stack[top.saturating_sub(1)] = Value::Bool(outcome);
                 }
             }
         }
--- a/crates/match/src/region.rs
+++ b/crates/match/src/region.rs
@@ -172,7 +172,7 @@
             _ => None,
         };
         if let Some(kind) = constant {
-            self.constants.insert(name.to_owned(), Expr { kind, place: value.place });
+            self.constants.insert(name.to_owned(), Expr { kind, span: value.span });
         }
         let regions = [self.region(value, false), self.region(value, true)];
         self.regions.insert(name.to_owned(), regions);
@@ -228,7 +228,7 @@
     /// The number that an expression always is.
     pub(crate) fn int(&self, e: &Expr) -> Option<i64> {
         match &e.kind {
-            Kind::Int(n) | Kind::Size(n) | Kind::Span(n) => Some(*n),
+            Kind::Int(n) | Kind::Size(n) | Kind::Duration(n) => Some(*n),
             Kind::Name(n) => self.constants.get(n).and_then(|c| self.int(c)),
             Kind::Chain(first, rest) => {
                 rest.iter().try_fold(self.int(first)?, |n, (op, term)| Some(op.apply(n, self.int(term)?)))
@@ -247,9 +247,9 @@
 
     /// A field against a constant.
     fn compared(&self, c: Comparison, a: &Expr, b: &Expr) -> Option<(Field, Domain, bool)> {
-        let (field, runs) = self.run_of(a)?;
+        let (field, divisor) = self.run_of(a)?;
         if let Some(n) = self.int(b) {
-            let (first, last) = run(n, runs)?;
+            let (first, last) = run(n, divisor)?;
             let domain = match c {
                 Comparison::Equal => Domain::range(first, last),
                 Comparison::Unequal => Domain::range(first, last).complement()?,
@@ -273,12 +273,12 @@
     }
 
     fn listed(&self, value: &Expr, items: &[Expr]) -> Option<(Field, Domain)> {
-        let (field, runs) = self.run_of(value)?;
+        let (field, divisor) = self.run_of(value)?;
         if items.iter().all(|i| matches!(i.kind, Kind::Text(_))) {
             let texts = items.iter().filter_map(|i| self.text(i));
             return Some((field, Domain::texts(texts.map(|t| Pattern::Exact(t.to_owned())).collect())));
         }
-        let ranges: Option<Vec<_>> = items.iter().map(|i| run(self.int(i)?, runs)).collect();
+        let ranges: Option<Vec<_>> = items.iter().map(|i| run(self.int(i)?, divisor)).collect();
         Some((field, Domain::ranges(ranges?)))
     }
 
--- a/crates/match/src/rules.rs
+++ b/crates/match/src/rules.rs
@@ -4,8 +4,8 @@
 use crate::check::Compiler;
 use crate::cover::{reached_by, unreached};
 use crate::decide::Tree;
-use crate::fault::{Fault, Faults, Place};
-use crate::key::KeyUse;
+use crate::diagnostic::{Diagnostic, Diagnostics, Span};
+use crate::key::KeyDependencies;
 use crate::lex::lex;
 use crate::parse::Parser;
 use crate::program::{Fields, Program, Type, Value, Watch};
@@ -48,49 +48,49 @@
     classes: List,
     plans: List,
     key: Option<u32>,
-    warnings: Faults,
+    warnings: Diagnostics,
     worst: u64,
     /// For each row, the position of its class among the names.
-    class_numbers: Vec<usize>,
+    class_indices: Vec<usize>,
     /// Where each row of the classes may match.
     regions: Vec<Region>,
     /// Where each row of the classes stands.
-    places: Vec<Place>,
-    plan_places: Vec<Place>,
+    spans: Vec<Span>,
+    plan_spans: Vec<Span>,
     lets: Vec<String>,
-    key_use: Option<KeyUse>,
+    key_dependencies: Option<KeyDependencies>,
 }
 
 /// A test within a row, as it came out for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Test {
+pub struct TestTrace {
     /// Where it stands.
-    pub place: Place,
+    pub span: Span,
     /// What it gave.
-    pub gave: bool,
+    pub outcome: bool,
     /// The values that it was about, in their order.
-    pub of: Vec<String>,
+    pub operands: Vec<String>,
 }
 
 /// A row as it was tried for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tried {
+pub struct RowTrace {
     /// The class that it gives.
     pub class: String,
     /// Where it stands.
-    pub place: Place,
+    pub span: Span,
     /// Whether it matched.
     pub matched: bool,
     /// Steps that it took.
     pub steps: u64,
     /// Its tests up to where the answer was settled.
-    pub tests: Vec<Test>,
+    pub tests: Vec<TestTrace>,
 }
 
 #[derive(Default)]
 struct Trace {
     steps: u64,
-    tests: Vec<Test>,
+    tests: Vec<TestTrace>,
 }
 
 impl Watch for Trace {
@@ -98,18 +98,22 @@
         self.steps += cost();
     }
 
-    fn test(&mut self, place: Place, of: &[Value<'_>], gave: bool) {
-        self.tests.push(Test { place, gave, of: of.iter().map(Value::to_string).collect() });
+    fn test(&mut self, span: Span, operands: &[Value<'_>], outcome: bool) {
+        self.tests.push(TestTrace {
+            span,
+            outcome,
+            operands: operands.iter().map(Value::to_string).collect(),
+        });
     }
 }
 
 /// How a request got its class.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Explained {
+pub struct Explanation {
     /// Names given by `let`, and their values for this request.
     pub lets: Vec<(String, String)>,
     /// Rows up to the one that matched.
-    pub rows: Vec<Tried>,
+    pub rows: Vec<RowTrace>,
     /// Steps that the host takes for the class, rather than row by row.
     pub steps: u64,
 }
@@ -119,38 +123,38 @@
     ///
     /// # Errors
     /// All faults of the file, in order of their places.
-    pub fn compile(text: &[u8]) -> Result<Rules, Faults> {
-        Self::compile_within(text, u64::MAX)
+    pub fn compile(text: &[u8]) -> Result<Rules, Diagnostics> {
+        Self::compile_with_limit(text, u64::MAX)
     }
 
     /// The same, with a bound on the steps that class, plan and key of one request may take.
     ///
     /// # Errors
     /// All faults of the file, or the one that a request may take more.
-    pub fn compile_within(text: &[u8], most_steps: u64) -> Result<Rules, Faults> {
-        let one = |f| Faults(vec![f]);
+    pub fn compile_with_limit(text: &[u8], most_steps: u64) -> Result<Rules, Diagnostics> {
+        let one = |f| Diagnostics(vec![f]);
         let text = as_text(text)?;
-        let mut faults = Vec::new();
-        let tokens = lex(text, &mut faults);
-        let file = Parser::new(&tokens, &mut faults).file();
+        let mut diagnostics = Vec::new();
+        let tokens = lex(text, &mut diagnostics);
+        let file = Parser::new(&tokens, &mut diagnostics).file();
         let mut c = Compiler::new(file.lets.iter().map(|l| l.0.clone()));
-        for (name, place, value) in &file.lets {
-            c.add_let(name, *place, value);
+        for (name, span, value) in &file.lets {
+            c.add_let(name, *span, value);
         }
         let class_rows = compiled(&mut c, &file.classes);
         let plan_rows = compiled(&mut c, &file.plans);
         let key = file.key.as_ref().map(|k| c.of_type(k, &[Type::Int]));
-        let end = Place { from: text.len(), to: text.len() };
+        let end = Span { start: text.len(), end: text.len() };
         // Where something could not be read, the last row may be among it.
-        if faults.is_empty() && !file.classes.iter().any(|r| r.when.is_none()) {
-            let fault = Fault::new(end, "some requests would have no class");
-            faults.push(fault.help("end the list with `class \"name\" otherwise;`"));
+        if diagnostics.is_empty() && !file.classes.iter().any(|r| r.when.is_none()) {
+            let diagnostic = Diagnostic::new(end, "some requests would have no class");
+            diagnostics.push(diagnostic.help("end the list with `class \"name\" otherwise;`"));
         }
-        faults.append(&mut c.faults);
-        if !faults.is_empty() {
-            faults.sort_by_key(|f| (f.place.from, f.place.to));
-            faults.dedup();
-            return Err(Faults(faults));
+        diagnostics.append(&mut c.diagnostics);
+        if !diagnostics.is_empty() {
+            diagnostics.sort_by_key(|f| (f.span.start, f.span.end));
+            diagnostics.dedup();
+            return Err(Diagnostics(diagnostics));
         }
         let mut known = Known::default();
         file.lets.iter().for_each(|(name, _, value)| known.add(name, value));
@@ -163,32 +167,32 @@
         let key_worst = key.map_or(0, |k| from[k as usize]);
         let worst = 3 * lets + classes.worst(&from) + plans.worst(&from) + key_worst;
         if worst > most_steps {
-            let what = format!("a request may take {worst} steps, and {most_steps} are the most");
+            let message = format!("a request may take {worst} steps, and {most_steps} are the most");
             let costs = |list: &List| -> Vec<u64> {
                 list.rows.iter().map(|r| r.1.map_or(0, |at| from[at as usize])).collect()
             };
             let rows = file.classes.iter().zip(costs(&classes)).chain(file.plans.iter().zip(costs(&plans)));
-            let costly = rows.max_by_key(|r| r.1).map_or((end, 0), |(row, cost)| (row.place, cost));
-            let fault = Fault::new(costly.0, what);
-            return Err(one(fault.help(format!("no row costs more than this one, {} steps", costly.1))));
+            let costly = rows.max_by_key(|r| r.1).map_or((end, 0), |(row, cost)| (row.span, cost));
+            let diagnostic = Diagnostic::new(costly.0, message);
+            return Err(one(diagnostic.help(format!("no row costs more than this one, {} steps", costly.1))));
         }
         let mut rules = Rules {
-            places: file.classes.iter().map(|r| r.place).collect(),
-            plan_places: file.plans.iter().map(|r| r.place).collect(),
-            key_use: file.key.as_ref().map(|k| KeyUse::of(k, &file.lets, &known)),
+            spans: file.classes.iter().map(|r| r.span).collect(),
+            plan_spans: file.plans.iter().map(|r| r.span).collect(),
+            key_dependencies: file.key.as_ref().map(|k| KeyDependencies::of(k, &file.lets, &known)),
             lets: file.lets.iter().map(|(name, ..)| name.clone()).collect(),
             program: c.program,
             classes,
             plans,
             key,
-            warnings: Faults(warnings),
+            warnings: Diagnostics(warnings),
             worst,
-            class_numbers: Vec::new(),
+            class_indices: Vec::new(),
             regions,
         };
         let names: HashMap<&str, usize> = rules.class_names().into_iter().zip(0..).collect();
         let numbers = rules.classes.rows.iter().map(|(name, _)| names[name.as_str()]).collect();
-        rules.class_numbers = numbers;
+        rules.class_indices = numbers;
         Ok(rules)
     }
 
@@ -223,18 +227,18 @@
     }
 
     /// How a request got its class: each row up to the one that matched, one by one, with what each test gave.
-    pub fn explain(&self, fields: &Fields<'_>) -> Explained {
+    pub fn explain(&self, fields: &Fields<'_>) -> Explanation {
         let mut steps = 0;
         self.class_watched(fields, &mut steps);
         let lets = self.program.lets(fields);
         let values = self.lets.iter().zip(&lets).map(|(name, v)| (name.clone(), v.to_string()));
-        let mut out = Explained { lets: values.collect(), rows: Vec::new(), steps };
-        for ((name, when), place) in self.classes.rows.iter().zip(&self.places) {
+        let mut out = Explanation { lets: values.collect(), rows: Vec::new(), steps };
+        for ((name, when), span) in self.classes.rows.iter().zip(&self.spans) {
             let mut trace = Trace::default();
             let holds = |from| self.program.run(from, fields, &lets, &mut trace) == Value::Bool(true);
             let matched = when.is_none_or(holds);
             let Trace { steps, tests } = trace;
-            out.rows.push(Tried { class: name.clone(), place: *place, matched, steps, tests });
+            out.rows.push(RowTrace { class: name.clone(), span: *span, matched, steps, tests });
             if matched {
                 break;
             }
@@ -243,30 +247,30 @@
     }
 
     /// What the key is made from, where the file gives one.
-    pub fn key_use(&self) -> Option<&KeyUse> {
-        self.key_use.as_ref()
+    pub fn key_dependencies(&self) -> Option<&KeyDependencies> {
+        self.key_dependencies.as_ref()
     }
 
     /// Position of a request's class in [`Rules::class_names`].
-    pub fn class_number(&self, fields: &Fields<'_>) -> Option<usize> {
+    pub fn class_index(&self, fields: &Fields<'_>) -> Option<usize> {
         let row = self.classes.first(&self.program, fields, &mut ())?;
-        self.class_numbers.get(row).copied()
+        self.class_indices.get(row).copied()
     }
 
     /// The same by trying each row in turn: what the decision tree is measured and tested against.
-    pub fn class_number_by_trying_each(&self, fields: &Fields<'_>) -> Option<usize> {
+    pub fn class_index_linear(&self, fields: &Fields<'_>) -> Option<usize> {
         let row = self.program.with_lets(fields, &mut (), |lets, watch| {
             let mut holds = |when: &Option<u32>| {
                 when.is_none_or(|from| self.program.run(from, fields, lets, watch) == Value::Bool(true))
             };
             self.classes.rows.iter().position(|(_, when)| holds(when))
         })?;
-        self.class_numbers.get(row).copied()
+        self.class_indices.get(row).copied()
     }
 
     /// Names of the classes that a request with an `op` may get, as far as the rows before them tell: a class may be
     /// named that no such request gets, but none is left out.
-    pub fn classes_within_reach(&self, op: &str) -> Vec<&str> {
+    pub fn reachable_classes(&self, op: &str) -> Vec<&str> {
         let mut names: Vec<&str> = Vec::new();
         for row in reached_by(op, &self.regions) {
             let name = self.classes.rows[row].0.as_str();
@@ -278,13 +282,13 @@
     }
 
     /// Rows of the classes: what they give and where they stand.
-    pub fn class_rows(&self) -> impl Iterator<Item = (&str, Place)> {
-        self.classes.rows.iter().map(|r| r.0.as_str()).zip(self.places.iter().copied())
+    pub fn class_rows(&self) -> impl Iterator<Item = (&str, Span)> {
+        self.classes.rows.iter().map(|r| r.0.as_str()).zip(self.spans.iter().copied())
     }
 
     /// Rows of the plans: what they give and where they stand.
-    pub fn plan_rows(&self) -> impl Iterator<Item = (&str, Place)> {
-        self.plans.rows.iter().map(|r| r.0.as_str()).zip(self.plan_places.iter().copied())
+    pub fn plan_rows(&self) -> impl Iterator<Item = (&str, Span)> {
+        self.plans.rows.iter().map(|r| r.0.as_str()).zip(self.plan_spans.iter().copied())
     }
 
     /// Names of the classes, in the order of their first rows.
@@ -299,21 +303,22 @@
     }
 
     /// Rows that can never match, as far as it can be told.
-    pub fn warnings(&self) -> &Faults {
+    pub fn warnings(&self) -> &Diagnostics {
         &self.warnings
     }
 }
 
 /// # Errors
 /// A file that is too long, or no UTF-8.
-pub(crate) fn as_text(bytes: &[u8]) -> Result<&str, Faults> {
-    let fault = |from, to, what: String| Faults(vec![Fault::new(Place { from, to }, what)]);
+pub(crate) fn as_text(bytes: &[u8]) -> Result<&str, Diagnostics> {
+    let diagnostic =
+        |start, end, message: String| Diagnostics(vec![Diagnostic::new(Span { start, end }, message)]);
     if bytes.len() > MAX_FILE {
-        return Err(fault(MAX_FILE, bytes.len(), format!("a file of more than {MAX_FILE} bytes")));
+        return Err(diagnostic(MAX_FILE, bytes.len(), format!("a file of more than {MAX_FILE} bytes")));
     }
     std::str::from_utf8(bytes).map_err(|e| {
         let at = e.valid_up_to();
-        fault(at, at + 1, "no UTF-8 from here on".to_owned())
+        diagnostic(at, at + 1, "no UTF-8 from here on".to_owned())
     })
 }
 
--- a/crates/match/src/stab.rs
+++ b/crates/match/src/stab.rs
@@ -4,7 +4,7 @@
 
 /// A segment tree: each range stands at a few nodes, and a number's nodes are those from its leaf to the root.
 #[derive(Clone, Debug)]
-pub(crate) struct Spans<T> {
+pub(crate) struct IntervalTree<T> {
     /// Where each leaf begins; the first at the lowest number.
     starts: Vec<i64>,
     /// Leaves from `size` on; the parent of `i` is `i / 2`, the root 1.
@@ -14,9 +14,12 @@
     size: usize,
 }
 
-impl<T> Spans<T> {
+impl<T> IntervalTree<T> {
     /// Over ranges with both ends in; `make` turns what stands at one node into its value.
-    pub(crate) fn build<E: Copy>(ranges: &[(i64, i64, E)], mut make: impl FnMut(Vec<E>) -> T) -> Spans<T> {
+    pub(crate) fn build<E: Copy>(
+        ranges: &[(i64, i64, E)],
+        mut make: impl FnMut(Vec<E>) -> T,
+    ) -> IntervalTree<T> {
         let mut starts = vec![i64::MIN];
         for (from, to, _) in ranges {
             starts.push(*from);
@@ -46,7 +49,7 @@
         for i in 1..nodes.len() {
             above[i] = if nodes[i].is_some() { i as u32 } else { above[i / 2] };
         }
-        Spans { starts, nodes, above, size }
+        IntervalTree { starts, nodes, above, size }
     }
 
     /// Values at all nodes whose ranges hold the number.
@@ -75,7 +78,7 @@
 
 /// Texts by how they begin; a node holds what its text adds to its parent's.
 #[derive(Clone, Debug)]
-pub(crate) struct Prefixes<T> {
+pub(crate) struct PrefixTree<T> {
     nodes: Vec<Node<T>>,
 }
 
@@ -87,10 +90,10 @@
     children: Vec<usize>,
 }
 
-impl<T> Prefixes<T> {
-    pub(crate) fn build(prefixes: BTreeMap<String, T>) -> Prefixes<T> {
+impl<T> PrefixTree<T> {
+    pub(crate) fn build(prefixes: BTreeMap<String, T>) -> PrefixTree<T> {
         let mut out =
-            Prefixes { nodes: vec![Node { label: Box::from([]), value: None, children: Vec::new() }] };
+            PrefixTree { nodes: vec![Node { label: Box::from([]), value: None, children: Vec::new() }] };
         for (prefix, value) in prefixes {
             out.insert(prefix.as_bytes(), value);
         }
@@ -107,17 +110,17 @@
     fn insert(&mut self, mut rest: &[u8], value: T) {
         let mut at = 0;
         while let Some(first) = rest.first() {
-            let place = match self.child(at, *first) {
-                Ok(place) => place,
-                Err(place) => {
+            let position = match self.child(at, *first) {
+                Ok(position) => position,
+                Err(position) => {
                     self.nodes.push(Node { label: rest.into(), value: None, children: Vec::new() });
                     let new = self.nodes.len() - 1;
-                    self.nodes[at].children.insert(place, new);
+                    self.nodes[at].children.insert(position, new);
                     at = new;
                     break;
                 }
             };
-            let child = self.nodes[at].children[place];
+            let child = self.nodes[at].children[position];
             let label = &self.nodes[child].label;
             let same = label.iter().zip(rest).take_while(|(a, b)| a == b).count();
             if same < label.len() {
@@ -126,7 +129,7 @@
                 self.nodes[child].label = tail;
                 self.nodes.push(Node { label: head, value: None, children: vec![child] });
                 let new = self.nodes.len() - 1;
-                self.nodes[at].children[place] = new;
+                self.nodes[at].children[position] = new;
                 at = new;
             } else {
                 at = child;
@@ -175,11 +178,11 @@
             n in prop_oneof![-12i64..45, Just(i64::MIN), Just(i64::MAX)],
         ) {
             let ranges: Vec<_> = ranges.into_iter().enumerate().map(|(i, (a, b))| (a, b, i)).collect();
-            let spans = Spans::build(&ranges, |es| es);
-            let mut found: Vec<usize> = spans.holding(n).flatten().copied().collect();
+            let intervals = IntervalTree::build(&ranges, |es| es);
+            let mut found: Vec<usize> = intervals.holding(n).flatten().copied().collect();
             found.sort_unstable();
             let plain: Vec<usize> = ranges.iter().filter(|r| r.0 <= n && n <= r.1).map(|r| r.2).collect();
-            prop_assert!(spans.worst(&|es| es.len() as u64) >= found.len() as u64);
+            prop_assert!(intervals.worst(&|es| es.len() as u64) >= found.len() as u64);
             prop_assert_eq!(found, plain);
         }
 
@@ -188,7 +191,7 @@
             prefixes in proptest::collection::btree_set("[ab\u{e4}\u{f6}]{0,6}", 0..30), text in "[ab\u{e4}\u{f6}]{0,8}",
         ) {
             let all = prefixes.iter().map(|p| (p.clone(), p.clone())).collect();
-            let tree = Prefixes::build(all);
+            let tree = PrefixTree::build(all);
             let found: Vec<&String> = tree.of(&text).collect();
             let mut plain: Vec<&String> = prefixes.iter().filter(|p| text.starts_with(p.as_str())).collect();
             plain.sort_by_key(|p| p.len());
--- a/crates/match/src/tests.rs
+++ b/crates/match/src/tests.rs
@@ -6,17 +6,17 @@
 use crate::parse::Parser;
 use crate::program::{compare, hash, Fields, Glob, Value, FIELDS};
 use crate::region::{Cell, Known};
-use crate::{Gravity, Rules};
+use crate::{Rules, Severity};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// Walks the tree, with lets put in place of their names.
-fn walk<'a>(e: &'a Expr, f: &Fields<'a>, lets: &'a [(String, crate::Place, Expr)]) -> Value<'a> {
+fn walk<'a>(e: &'a Expr, f: &Fields<'a>, lets: &'a [(String, crate::Span, Expr)]) -> Value<'a> {
     let truth = |e: &'a Expr| walk(e, f, lets) == Value::Bool(true);
     let int = |e: &'a Expr| if let Value::Int(n) = walk(e, f, lets) { n } else { 0 };
     let text = |e: &'a Expr| if let Value::Text(t) = walk(e, f, lets) { t } else { "" };
     match &e.kind {
-        Kind::Int(n) | Kind::Size(n) | Kind::Span(n) => Value::Int(*n),
+        Kind::Int(n) | Kind::Size(n) | Kind::Duration(n) => Value::Int(*n),
         Kind::Bool(b) => Value::Bool(*b),
         Kind::Text(t) => Value::Text(t),
         Kind::Name(n) => match FIELDS.iter().find(|x| x.0 == n) {
@@ -43,10 +43,10 @@
 
 /// The result of the first row, one after the other.
 fn plain(text: &str, f: &Fields<'_>) -> (Option<String>, Option<u64>) {
-    let mut faults = Vec::new();
-    let tokens = lex(text, &mut faults);
-    let file = Parser::new(&tokens, &mut faults).file();
-    assert!(faults.is_empty(), "{faults:?}");
+    let mut diagnostics = Vec::new();
+    let tokens = lex(text, &mut diagnostics);
+    let file = Parser::new(&tokens, &mut diagnostics).file();
+    assert!(diagnostics.is_empty(), "{diagnostics:?}");
     let holds = |r: &&Row| r.when.as_ref().is_none_or(|w| walk(w, f, &file.lets) == Value::Bool(true));
     let key = file.key.as_ref().map(|k| match walk(k, f, &file.lets) {
         Value::Int(n) => n as u64,
@@ -175,8 +175,8 @@
         condition in truth(3), requests in proptest::collection::vec(near(), 24),
     ) {
         let text = drawn(std::slice::from_ref(&condition), "1");
-        let mut faults = Vec::new();
-        let file = Parser::new(&lex(&text, &mut faults), &mut faults).file();
+        let mut diagnostics = Vec::new();
+        let file = Parser::new(&lex(&text, &mut diagnostics), &mut diagnostics).file();
         let mut known = Known::default();
         file.lets.iter().for_each(|l| known.add(&l.0, &l.2));
         let when = file.classes[0].when.as_ref().expect("a condition");
@@ -203,9 +203,9 @@
             let matched = explained.rows.last().expect("a row that matched");
             prop_assert!(matched.matched);
             prop_assert_eq!(Some(matched.class.as_str()), rules.class(&fields(r)));
-            let warned = rules.warnings().0.iter().any(|w| w.place == matched.place);
+            let warned = rules.warnings().0.iter().any(|w| w.span == matched.span);
             prop_assert!(!warned, "{}\n{:?}", text, fields(r));
-            prop_assert!(rules.classes_within_reach(r.0).contains(&matched.class.as_str()));
+            prop_assert!(rules.reachable_classes(r.0).contains(&matched.class.as_str()));
         }
     }
 }
@@ -224,13 +224,13 @@
             Ok(rules) => rules,
             // A drawn constant may leave the range, or a draw may need too deep a stack; that is said.
             Err(e) => {
-                let told = e.0.iter().all(|f| f.what.contains("range") || f.what.contains("at once") || f.what.contains("zero"));
-                prop_assert!(told, "{}", e.render("drawn", text.as_bytes(), Gravity::Fault));
+                let told = e.0.iter().all(|f| f.message.contains("range") || f.message.contains("at once") || f.message.contains("zero"));
+                prop_assert!(told, "{}", e.render("drawn", text.as_bytes(), Severity::Error));
                 return Ok(());
             }
         };
         let f = fields(&request);
-        prop_assert_eq!(rules.class_number(&f), rules.class_number_by_trying_each(&f));
+        prop_assert_eq!(rules.class_index(&f), rules.class_index_linear(&f));
         let (mut class_steps, mut key_steps) = (0u64, 0u64);
         let class = rules.class_watched(&f, &mut class_steps).map(str::to_owned);
         let key = rules.key_watched(&f, &mut key_steps);
@@ -251,14 +251,14 @@
     ], 0..60)) {
         let text = words.join(" ");
         if let Err(e) = Rules::compile(text.as_bytes()) {
-            prop_assert!(!e.render("drawn", text.as_bytes(), Gravity::Fault).is_empty());
+            prop_assert!(!e.render("drawn", text.as_bytes(), Severity::Error).is_empty());
         }
     }
 }
 
 fn refused(text: &str) -> String {
     let text = format!("{text}\nclass \"rest\" otherwise;\n");
-    Rules::compile(text.as_bytes()).expect_err(&text).render("f", text.as_bytes(), Gravity::Fault)
+    Rules::compile(text.as_bytes()).expect_err(&text).render("f", text.as_bytes(), Severity::Error)
 }
 
 #[test]
@@ -337,18 +337,18 @@
 fn more_steps_than_a_request_may_take_are_refused_with_the_costliest_row() {
     let text = "class \"a\" if fua;\nclass \"b\" if contains(volume, \"x\") and contains(target, \"y\");\nclass \"c\" otherwise;";
     let steps = Rules::compile(text.as_bytes()).unwrap().worst_steps();
-    assert!(Rules::compile_within(text.as_bytes(), steps).is_ok());
-    let refused = Rules::compile_within(text.as_bytes(), steps - 1).unwrap_err();
-    let told = refused.render("f", text.as_bytes(), Gravity::Fault);
+    assert!(Rules::compile_with_limit(text.as_bytes(), steps).is_ok());
+    let refused = Rules::compile_with_limit(text.as_bytes(), steps - 1).unwrap_err();
+    let told = refused.render("f", text.as_bytes(), Severity::Error);
     assert!(told.contains(&format!("may take {steps} steps")) && told.contains("2 | class \"b\""), "{told}");
 }
 
 #[test]
 fn a_key_is_told_where_one_block_may_have_two() {
-    let troubles = |key: &str| {
+    let conflicts = |key: &str| {
         let text = format!("let run = 2048;\nlet part = lba / run;\nclass \"a\" otherwise;\nkey = {key};");
         let rules = Rules::compile(text.as_bytes()).unwrap_or_else(|e| panic!("{e:?}"));
-        rules.key_use().expect("a key").troubles(1024)
+        rules.key_dependencies().expect("a key").conflicts(1024)
     };
     for sound in [
         "hash(volume, lba / 2048)",
@@ -357,7 +357,7 @@
         "5",
         "lba / 1024 * 3",
     ] {
-        assert_eq!(troubles(sound), Vec::<String>::new(), "{sound}");
+        assert_eq!(conflicts(sound), Vec::<String>::new(), "{sound}");
     }
     for (key, want) in [
         ("hash(volume, blocks)", "differ in blocks"),
@@ -369,7 +369,7 @@
         ("lba / 1000", "no multiple of the extent's 1024"),
         ("lba / blocks", "other than in `lba / N`"),
     ] {
-        let told = troubles(key).join("; ");
+        let told = conflicts(key).join("; ");
         assert!(told.contains(want), "{key}: {told}");
     }
 }
@@ -383,7 +383,7 @@
     let tests: Vec<(&str, bool, String)> = told.rows[0]
         .tests
         .iter()
-        .map(|t| (&text[t.place.from..t.place.to], t.gave, t.of.join(" ")))
+        .map(|t| (&text[t.span.start..t.span.end], t.outcome, t.operands.join(" ")))
         .collect();
     let want = [
         ("op == \"write\"", true, "\"write\" \"write\"".to_owned()),
@@ -398,7 +398,7 @@
     let text =
         b"class \"a\" if lba == 1;\nclass \"b\" if lba ==  1;\nclass \"c\" otherwise;\nclass \"d\" if fua;\n";
     let rules = Rules::compile(text).unwrap();
-    let told: Vec<&str> = rules.warnings().0.iter().map(|w| w.what.as_str()).collect();
+    let told: Vec<&str> = rules.warnings().0.iter().map(|w| w.message.as_str()).collect();
     assert_eq!(told.len(), 2, "{told:?}");
     assert!(told[0].contains("the same condition") && told[1].contains("takes all requests"));
 }
@@ -412,7 +412,7 @@
         (include_str!("../../../examples/rules/build-farm.rules"), "read", 1 << 20, "cache-read"),
     ] {
         let rules = Rules::compile(text.as_bytes())
-            .unwrap_or_else(|e| panic!("{}", e.render("example", text.as_bytes(), Gravity::Fault)));
+            .unwrap_or_else(|e| panic!("{}", e.render("example", text.as_bytes(), Severity::Error)));
         assert!(rules.warnings().0.is_empty());
         assert_eq!(rules.class(&Fields { op, bytes, ..Fields::default() }), Some(class));
     }
--- a/crates/match/tests/allocations.rs
+++ b/crates/match/tests/allocations.rs
@@ -21,7 +21,7 @@
     {
         let fields = Fields { op: "read", volume, initiator, lba, fua, ..Fields::default() };
         let told = allocation_counter::measure(|| {
-            found += usize::from(rules.class_number(&fields).is_some());
+            found += usize::from(rules.class_index(&fields).is_some());
             found += usize::from(rules.plan(&fields).is_some());
             found += usize::from(rules.key(&fields).is_some());
         });
--- a/crates/terms/src/figures.rs
+++ b/crates/terms/src/global.rs
@@ -1,11 +1,11 @@
 //! Figures for all classes: grace, cold nodes, budget, limits, and what a lone host can keep of them.
 
-use crate::{ms, Entry, Refusal, Rule};
+use crate::{ms, Entry, Rule, Violation};
 use pearfork::Settings;
 
-pub(crate) fn check(s: &Settings, out: &mut Vec<Refusal>) {
-    let mut refuse = |rule, entry, key, why: String, accepted: String| {
-        out.push(Refusal { rule, entry, key, why, accepted });
+pub(crate) fn check(s: &Settings, out: &mut Vec<Violation>) {
+    let mut refuse = |rule, entry, key, problem: String, accepted: String| {
+        out.push(Violation { rule, entry, key, problem, accepted });
     };
     let shortest = s.classes.iter().map(|c| c.deadline_ms).fold(f64::INFINITY, f64::min);
     // The module's last word on a request is two rounds before its client leaves.
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -19,8 +19,8 @@
 //! assert_eq!(refusals[0].rule, pearfork_terms::Rule::NoEffectTwice);
 //! ```
 
-mod figures;
-mod routes;
+mod class;
+mod global;
 
 use pearfork::Settings;
 
@@ -83,8 +83,8 @@
 
 /// Something that is asked and can't be had.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{rule}: {why}; accepted: {accepted}")]
-pub struct Refusal {
+#[error("{rule}: {problem}; accepted: {accepted}")]
+pub struct Violation {
     /// The rule that stands against it.
     pub rule: Rule,
     /// Where it is asked.
@@ -92,22 +92,22 @@
     /// The key of the settings file.
     pub key: &'static str,
     /// What is wrong, in plain words.
-    pub why: String,
+    pub problem: String,
     /// What would be accepted.
     pub accepted: String,
 }
 
 /// All refusals, in the order of the rules and then of the entries. `names` are those of the classes, for the words.
-pub fn check(settings: &Settings, names: &[impl AsRef<str>]) -> Vec<Refusal> {
+pub fn check(settings: &Settings, names: &[impl AsRef<str>]) -> Vec<Violation> {
     let mut out = Vec::new();
     for (i, class) in settings.classes.iter().enumerate() {
         let name = names.get(i).map_or("", AsRef::as_ref);
-        routes::check(settings, class, &mut |rule, key, why, accepted| {
-            let why = format!("`{name}` {why}");
-            out.push(Refusal { rule, entry: Entry::Class(i), key, why, accepted });
+        class::check(settings, class, &mut |rule, key, problem, accepted| {
+            let problem = format!("`{name}` {problem}");
+            out.push(Violation { rule, entry: Entry::Class(i), key, problem, accepted });
         });
     }
-    figures::check(settings, &mut out);
+    global::check(settings, &mut out);
     out.sort_by_key(|r| r.rule);
     out
 }
--- a/crates/terms/tests/refusals.rs
+++ b/crates/terms/tests/violations.rs
@@ -1,7 +1,7 @@
 //! Each thing that can't be had is refused under its rule, and what is said to be accepted is.
 
 use pearfork::{AttemptPolicy, Class, Effect, Group, Plan, RetryBudget, Settings};
-use pearfork_terms::{check, Entry, Refusal, Rule};
+use pearfork_terms::{check, Entry, Rule, Violation};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -54,7 +54,7 @@
     }
 }
 
-fn refusals(change: impl FnOnce(&mut Settings)) -> Vec<Refusal> {
+fn violations(change: impl FnOnce(&mut Settings)) -> Vec<Violation> {
     let mut s = good();
     change(&mut s);
     check(&s, &["roster-read", "visit-note"])
@@ -62,7 +62,7 @@
 
 /// One change, one refusal.
 fn one(change: impl FnOnce(&mut Settings)) -> (Rule, &'static str, String) {
-    let mut told = refusals(change);
+    let mut told = violations(change);
     assert_eq!(told.len(), 1, "{told:#?}");
     let r = told.remove(0);
     (r.rule, r.key, r.to_string())
@@ -70,13 +70,13 @@
 
 #[test]
 fn what_can_be_had_is_not_refused() {
-    assert_eq!(refusals(|_| {}), []);
-    assert_eq!(refusals(|s| s.classes[0].attempt_policy.hedge_after_ms = 80.0), []);
+    assert_eq!(violations(|_| {}), []);
+    assert_eq!(violations(|s| s.classes[0].attempt_policy.hedge_after_ms = 80.0), []);
     assert_eq!(
-        refusals(|s| s.classes.iter_mut().for_each(|c| c.attempt_policy = AttemptPolicy::default())),
+        violations(|s| s.classes.iter_mut().for_each(|c| c.attempt_policy = AttemptPolicy::default())),
         []
     );
-    assert_eq!(refusals(|s| s.classes[1].ordered = true), []);
+    assert_eq!(violations(|s| s.classes[1].ordered = true), []);
 }
 
 #[test]
@@ -125,7 +125,7 @@
     for (n, (change, rule, key, accepted)) in cases.into_iter().enumerate() {
         if key.is_empty() {
             // Without a time-out, further attempts of what must not run twice are those that never ran.
-            assert_eq!(refusals(change), []);
+            assert_eq!(violations(change), []);
             continue;
         }
         let (told_rule, told_key, words) = one(change);
@@ -138,7 +138,7 @@
 #[test]
 fn second_copies_are_refused_where_repeats_are_not_permitted() {
     let rules = |change: fn(&mut Settings)| {
-        let told = refusals(|s| {
+        let told = violations(|s| {
             s.classes[0].attempt_policy.hedge_after_ms = 80.0;
             change(s);
         });
@@ -159,7 +159,7 @@
 
 #[test]
 fn all_refusals_are_told_at_once_in_the_order_of_the_rules() {
-    let told = refusals(|s| {
+    let told = violations(|s| {
         s.plans[0].burst = 1.0;
         s.cold_units = 1.0;
         s.classes[1].attempt_policy.attempts = 9;
