--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -18,7 +18,7 @@
 use crate::units::Span;
 use crate::volumes::{Volume, VolumeId};
 use pearfork_fleet::FleetSettings;
-use pearfork_layers::{Key, LayerFault, Layers};
+use pearfork_layers::{Key, LayerError, Layers};
 use pearfork_match::Fields;
 use pearfork_scsi::{LogicalUnit, MediaCommand, MediaOp, MAX_TRANSFER_BLOCKS};
 use std::collections::HashSet;
@@ -54,16 +54,16 @@
     },
     /// Layers that cannot be merged.
     #[error(transparent)]
-    Layer(#[from] LayerFault),
+    Layer(#[from] LayerError),
     /// A value that one of the seven rules forbids.
-    #[error("{place}, {entry}, {}: {refusal}", refusal.key)]
+    #[error("{place}, {entry}, {}: {violation}", violation.key)]
     Rule {
         /// The table.
         entry: String,
         /// Where the value was set: a line of the file, or the layer.
         place: String,
         /// The value that was found, and the values that are accepted.
-        refusal: pearfork_terms::Refusal,
+        violation: pearfork_terms::Violation,
     },
     /// A value that is out of range, or does not agree with another one.
     #[error("{entry}: {what}")]
@@ -183,7 +183,7 @@
         read: &dyn Fn(&str) -> Result<String, String>,
         over: &Overrides,
     ) -> Result<HostSettings, HostSettingsErrors> {
-        let layers = Layers::gather(name, text, read, over, EXCLUSIVE).map_err(|errors| {
+        let layers = Layers::load(name, text, read, over, EXCLUSIVE).map_err(|errors| {
             HostSettingsErrors(errors.into_iter().map(HostSettingsError::from).collect())
         })?;
         let file = parse_tables(name, text, &layers)
@@ -253,12 +253,12 @@
 /// Deserializes the merged layers; as an error, a message that names the place.
 fn parse_tables(name: &str, text: &str, layers: &Layers) -> Result<SettingsFile, String> {
     if layers.merged.contains_key("classify") {
-        let place = layers.place(&Key::of(&["classify"])).map_or(name.to_owned(), Origin::to_string);
+        let place = layers.origin(&Key::of(&["classify"])).map_or(name.to_owned(), Origin::to_string);
         return Err(format!(
             "{place}: `classify` is of the format before {FORMAT}; `pearfork-check migrate FILE` converts the file"
         ));
     }
-    if layers.is_plain() {
+    if layers.is_single_file() {
         // The parser's message for a single file shows the line itself.
         return toml::from_str(text).map_err(|e| format!("{name}: {e}"));
     }
@@ -271,7 +271,7 @@
         if let Some(field) = field.filter(|f| key.parts().last().is_none_or(|last| last != f)) {
             key = key.child(field);
         }
-        let place = layers.place(&key).map_or(name.to_owned(), Origin::to_string);
+        let place = layers.origin(&key).map_or(name.to_owned(), Origin::to_string);
         format!("{place}: `{key}`: {why}")
     })
 }
@@ -409,9 +409,9 @@
         }
         // This check of `burst` assumes even shares of the limit; a fleet lends uneven ones and has its own
         // check.
-        let applies = |r: &pearfork_terms::Refusal| file.fleet.is_none() || r.key != "burst";
-        for refusal in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(applies) {
-            let entry = match refusal.entry {
+        let applies = |r: &pearfork_terms::Violation| file.fleet.is_none() || r.key != "burst";
+        for violation in pearfork_terms::check(&scheduler, &class_names).into_iter().filter(applies) {
+            let entry = match violation.entry {
                 pearfork_terms::Entry::Class(i) if i < file.class.len() => {
                     format!("class `{}`", class_names[i])
                 }
@@ -419,8 +419,8 @@
                 pearfork_terms::Entry::Plan(i) => format!("plan `{}`", file.plan[i].name),
                 pearfork_terms::Entry::Rules => "rules".to_owned(),
             };
-            let place = self.location_of(&file, refusal.entry, refusal.key);
-            self.errors.push(HostSettingsError::Rule { entry, place, refusal });
+            let place = self.location_of(&file, violation.entry, violation.key);
+            self.errors.push(HostSettingsError::Rule { entry, place, violation });
         }
         let fleet = self.fleet(&file);
         let (Some(matching), true) = (matching, self.errors.is_empty()) else {
--- a/crates/host/src/settings/matching.rs
+++ b/crates/host/src/settings/matching.rs
@@ -4,7 +4,7 @@
 use super::{Checker, HostSettingsError};
 use crate::volumes::Volume;
 use pearfork_layers::Key;
-use pearfork_match::{nearest, Fault, Faults, Fields, Gravity, Place, Rules};
+use pearfork_match::{closest_match, Diagnostic, Diagnostics, Fields, Rules, Severity, Span};
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
 
@@ -29,15 +29,15 @@
 }
 
 impl RulesSource {
-    fn render(&self, errors: Faults, gravity: Gravity) -> String {
-        errors.within(self.offset).render(&self.name, self.text.as_bytes(), gravity)
+    fn render(&self, errors: Diagnostics, severity: Severity) -> String {
+        errors.shifted(self.offset).render(&self.name, self.text.as_bytes(), severity)
     }
 }
 
 impl Matching {
     /// The class of a request. Compiling the rules has verified that they give one to every request.
     pub fn class_of(&self, fields: &Fields<'_>) -> u16 {
-        let number = self.rules.class_number(fields).unwrap_or(0);
+        let number = self.rules.class_index(fields).unwrap_or(0);
         self.class_positions.get(number).copied().unwrap_or(0)
     }
 
@@ -62,8 +62,8 @@
     }
 
     /// The line number and the source text of a place in the rules.
-    pub fn source_at(&self, place: Place) -> (usize, &str) {
-        let (from, to) = (place.from + self.source.offset, place.to + self.source.offset);
+    pub fn source_at(&self, span: Span) -> (usize, &str) {
+        let (from, to) = (span.start + self.source.offset, span.end + self.source.offset);
         let text = &self.source.text;
         (1 + text.get(..from).map_or(0, |t| t.matches('\n').count()), text.get(from..to).unwrap_or(""))
     }
@@ -73,7 +73,7 @@
     fn source(&mut self, file: &SettingsFile) -> Option<(RulesSource, String)> {
         match (&file.r#match.rules, &file.r#match.file) {
             (Some(text), None) => {
-                let given = self.layers.given(&Key::of(&["match", "rules"])).last();
+                let given = self.layers.values(&Key::of(&["match", "rules"])).last();
                 let rules_alone = |name: String| RulesSource { name, text: text.clone(), offset: 0 };
                 let source = match given.and_then(|g| g.span.clone()) {
                     Some((at, span)) => {
@@ -110,7 +110,7 @@
 
     /// The path of a rules file: relative to the file that names it.
     fn resolve(&self, name: &str) -> String {
-        let given = self.layers.given(&Key::of(&["match", "file"])).last();
+        let given = self.layers.values(&Key::of(&["match", "file"])).last();
         // The last source is the settings file itself. Paths in it, and in variables and flags, are relative
         // to its folder.
         let included = |at: &usize| at + 1 < self.layers.sources.len();
@@ -129,10 +129,10 @@
         volumes: &[Volume],
     ) -> Option<Matching> {
         let (source, text) = self.source(file)?;
-        let rules = match Rules::compile_within(text.as_bytes(), file.r#match.max_steps) {
+        let rules = match Rules::compile_with_limit(text.as_bytes(), file.r#match.max_steps) {
             Ok(rules) => rules,
             Err(errors) => {
-                self.errors.push(HostSettingsError::Rules(source.render(errors, Gravity::Fault)));
+                self.errors.push(HostSettingsError::Rules(source.render(errors, Severity::Error)));
                 return None;
             }
         };
@@ -143,19 +143,19 @@
         let mut unknown = unknown_names("class", rules.class_rows(), &known_classes);
         unknown.extend(unknown_names("plan", rules.plan_rows(), &known_plans));
         if !unknown.is_empty() {
-            self.errors.push(HostSettingsError::Rules(source.render(Faults(unknown), Gravity::Fault)));
+            self.errors.push(HostSettingsError::Rules(source.render(Diagnostics(unknown), Severity::Error)));
         }
         // A route that no request can reach is a mistake in the rules.
-        let unreachable: HashSet<usize> = rules.warnings().0.iter().map(|w| w.place.from).collect();
+        let unreachable: HashSet<usize> = rules.warnings().0.iter().map(|w| w.span.start).collect();
         let reached: HashSet<&str> =
-            rules.class_rows().filter(|r| !unreachable.contains(&r.1.from)).map(|r| r.0).collect();
+            rules.class_rows().filter(|r| !unreachable.contains(&r.1.start)).map(|r| r.0).collect();
         for r in file.route.iter().filter(|r| !reached.contains(r.name.as_str())) {
             let what = "no request can reach it: a row `class \"...\" if ...` of the matching rules must name it, and match";
             self.error(format!("route `{}`", r.name), what);
         }
         // COMPARE AND WRITE must not run twice: the second run would compare with what the first one wrote,
         // and report a miscompare for a command that succeeded.
-        for name in rules.classes_within_reach("compare-and-write") {
+        for name in rules.reachable_classes("compare-and-write") {
             let class = names.iter().position(|n| n == name).map(|i| &classes[i]);
             if class.is_some_and(|c| c.effect != pearfork::Effect::Unsafe) {
                 let what =
@@ -165,7 +165,7 @@
             }
         }
         if !rules.warnings().0.is_empty() {
-            self.warnings.push(source.render(rules.warnings().clone(), Gravity::Warning));
+            self.warnings.push(source.render(rules.warnings().clone(), Severity::Warning));
         }
         self.check_order(&rules, names, classes, volumes);
         let class = |n: &&str| names.iter().position(|c| c == n).unwrap_or(0) as u16;
@@ -185,9 +185,11 @@
         let ordered: Vec<&str> =
             names.iter().zip(classes).filter(|(_, c)| c.ordered).map(|(n, _)| n.as_str()).collect();
         let used = rules.class_names();
-        let Some(key) = rules.key_use().filter(|_| ordered.iter().any(|o| used.contains(o))) else { return };
+        let Some(key) = rules.key_dependencies().filter(|_| ordered.iter().any(|o| used.contains(o))) else {
+            return;
+        };
         for v in volumes {
-            for problem in key.troubles(v.extent_blocks) {
+            for problem in key.conflicts(v.extent_blocks) {
                 self.warnings.push(format!(
                     "warning: `key` orders class {}, and on volume `{}` {problem}",
                     ordered.join(", "),
@@ -201,13 +203,13 @@
 /// One error for each name that the rules use and the settings do not define.
 fn unknown_names<'a>(
     kind: &str,
-    rows: impl Iterator<Item = (&'a str, Place)>,
+    rows: impl Iterator<Item = (&'a str, Span)>,
     known: &HashSet<&str>,
-) -> Vec<Fault> {
+) -> Vec<Diagnostic> {
     let mut reported = HashSet::new();
-    let error = |(name, place): (&str, Place)| {
-        let error = Fault::new(place, format!("there is no [[{kind}]] `{name}`"));
-        match nearest(name, known.iter().copied()) {
+    let error = |(name, span): (&str, Span)| {
+        let error = Diagnostic::new(span, format!("there is no [[{kind}]] `{name}`"));
+        match closest_match(name, known.iter().copied()) {
             Some(near) => error.help(format!("did you mean \"{near}\"?")),
             None => error
                 .help(format!("each {kind} that the rules name needs a [[{kind}]] table in the settings")),
--- a/crates/host/src/settings/provenance.rs
+++ b/crates/host/src/settings/provenance.rs
@@ -2,8 +2,8 @@
 
 use super::tables::SettingsFile;
 use super::{Origin, FORMAT};
-use pearfork_layers::{Given, Key, Layers};
-use pearfork_match::nearest;
+use pearfork_layers::{Key, LayerValue, Layers};
+use pearfork_match::closest_match;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use toml::{Table, Value};
@@ -13,7 +13,7 @@
 pub struct Provenance {
     resolved: String,
     /// For each key its effective value as TOML, and the layers that set it, the one that counts last.
-    values: BTreeMap<Key, (String, Vec<Given>)>,
+    values: BTreeMap<Key, (String, Vec<LayerValue>)>,
     files: Vec<String>,
 }
 
@@ -51,7 +51,7 @@
         }
         let mut values = BTreeMap::new();
         let mut add = |key: Key, value: &Value| {
-            let given = layers.given(&key).to_vec();
+            let given = layers.values(&key).to_vec();
             values.insert(key, (to_toml(value), given));
         };
         let effective = Table::try_from(file).unwrap_or_default();
@@ -99,7 +99,7 @@
             .collect();
         if found.is_empty() {
             let known: Vec<String> = self.values.keys().map(Key::to_string).collect();
-            let near = nearest(name, known.iter().map(String::as_str)).map(str::to_owned);
+            let near = closest_match(name, known.iter().map(String::as_str)).map(str::to_owned);
             return Err(UnknownKey { key: name.to_owned(), near });
         }
         Ok(found)
--- a/crates/host/src/settings/routes.rs
+++ b/crates/host/src/settings/routes.rs
@@ -73,9 +73,9 @@
             Entry::Plan(i) => Key::of(&["plan", file.plan.get(i).map_or("", |p| &p.name)]),
             Entry::Rules => Key::of(&["rules"]),
         };
-        match self.layers.place(&entry_key.child(key)) {
+        match self.layers.origin(&entry_key.child(key)) {
             // With a single file the line identifies the place.
-            Some(Origin::File { line, .. }) if self.layers.is_plain() => format!("line {line}"),
+            Some(Origin::File { line, .. }) if self.layers.is_single_file() => format!("line {line}"),
             Some(origin) => origin.to_string(),
             None => "line 1".to_owned(),
         }
