--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -2,7 +2,7 @@
 
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use std::net::SocketAddr;
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
@@ -16,8 +16,9 @@
 fn a_running_host_tells_its_nodes_and_volumes_and_whether_it_is_well() {
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut plan = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
-    let spec = FleetSpec { count: 3, racks: 1, ..FleetSpec::default() };
-    let fleet = Fleet::start(&spec, &plan.scheduler, anywhere, Duration::ZERO, &Recorder::off()).unwrap();
+    let spec = FakeClusterSpec { node_count: 3, racks: 1, ..FakeClusterSpec::default() };
+    let fleet =
+        FakeCluster::start(&spec, &plan.scheduler, anywhere, Duration::ZERO, &Recorder::disabled()).unwrap();
     (plan.listen, plan.http, plan.directory) = (anywhere, Some(anywhere), fleet.directory().address());
     let host = Host::start(plan).unwrap();
     let at = host.http_address().unwrap().to_string();
@@ -37,7 +38,7 @@
     let (code, both) = ctl(&["health", "--host", &at, "--host", nobody, "--json=false"]);
     assert!(code == 2 && both.contains("ok") && both.contains("silent: "), "{both}");
     // A host whose nodes are all gone is ill.
-    (1..=3).for_each(|n| fleet.die(n));
+    (1..=3).for_each(|n| fleet.kill_node(n));
     let until = Instant::now() + Duration::from_secs(10);
     while ctl(&["health", "--host", &at]).0 != 1 {
         assert!(Instant::now() < until, "never ill");
@@ -48,9 +49,14 @@
 fn a_host_that_is_asked_to_drain_says_so_goes_and_is_waited_for() {
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut plan = HostSettings::from_toml(include_str!("../../../examples/quickstart.toml")).unwrap();
-    let fleet =
-        Fleet::start(&FleetSpec::default(), &plan.scheduler, anywhere, Duration::ZERO, &Recorder::off())
-            .unwrap();
+    let fleet = FakeCluster::start(
+        &FakeClusterSpec::default(),
+        &plan.scheduler,
+        anywhere,
+        Duration::ZERO,
+        &Recorder::disabled(),
+    )
+    .unwrap();
     (plan.listen, plan.http, plan.directory) = (anywhere, Some(anywhere), fleet.directory().address());
     let host = Host::start(plan).unwrap();
     let http = host.http_address().unwrap();
--- a/crates/day/benches/calm.rs
+++ b/crates/day/benches/calm.rs
@@ -65,7 +65,7 @@
         for hosts in [1u16, 2, 8, 40].into_iter().filter(|h| wanted(1, f64::from(*h))) {
             let result =
                 play(&day(part, hosts), &plan, &mut InProcess::default(), |_, _| {}).expect("a day played");
-            assert!(result.rules.kept(), "\n{}", result.rules);
+            assert!(result.rules.passed(), "\n{}", result.rules);
             let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| -> u64 {
                 result.hosts.iter().flatten().map(f).sum()
             };
@@ -78,7 +78,7 @@
                 .clients
                 .iter()
                 .filter(|(n, _)| n == "notes")
-                .map(|(_, t)| t.times.value_at_quantile(0.99) as f64 / 1e3)
+                .map(|(_, t)| t.latency_us.value_at_quantile(0.99) as f64 / 1e3)
                 .collect();
             p99.sort_by(f64::total_cmp);
             let words: Vec<String> = reasons.iter().map(|(r, n)| format!("{r} {n}")).collect();
--- a/crates/day/benches/retries.rs
+++ b/crates/day/benches/retries.rs
@@ -7,8 +7,8 @@
 use pearfork_day::script::Day;
 use pearfork_day::{play, DayResult};
 use pearfork_host::settings::HostSettings;
-use pearfork_rulecheck::wire::NodeTag;
-use pearfork_rulecheck::{Place, What};
+use pearfork_rulecheck::wire::CommandMetadata;
+use pearfork_rulecheck::{Endpoint, TraceEventKind};
 
 const HOSTS: &str = include_str!("../days/bad-day-hosts.toml");
 const ROUNDS: usize = 2;
@@ -72,9 +72,9 @@
 
 fn row(r: &DayResult) -> Row {
     let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| r.hosts.iter().flatten().map(f).sum();
-    let further = r.notes.iter().filter(|n| match &n.what {
-        What::Pdu { place: Place::Node { .. }, sent: false, header, .. } => {
-            NodeTag::find(&header.extra).is_some_and(|t| t.attempt > 0)
+    let further = r.notes.iter().filter(|n| match &n.kind {
+        TraceEventKind::Pdu { endpoint: Endpoint::Node { .. }, sent: false, header, .. } => {
+            CommandMetadata::find(&header.extra).is_some_and(|t| t.attempt > 0)
         }
         _ => false,
     });
@@ -84,7 +84,7 @@
         refused: sum(|c| c.refused),
         failed: sum(|c| c.failed),
         further: further.count(),
-        broken: r.rules.0.iter().map(|f| f.broken.len()).sum(),
+        broken: r.rules.0.iter().map(|f| f.violations.len()).sum(),
     }
 }
 
--- a/crates/day/src/expect.rs
+++ b/crates/day/src/expect.rs
@@ -26,9 +26,9 @@
     // Each request draws its units at its first sending.
     let mut first: HashMap<_, (u64, u32, f64)> = HashMap::new();
     for a in &trace.attempts {
-        let t = &a.tag;
-        let key = (t.host, t.boot, t.session, t.command, t.part);
-        first.entry(key).or_insert((a.came_us, t.volume, f64::from(t.milli_units) / 1_000.0));
+        let t = &a.metadata;
+        let key = (t.host, t.host_start_s, t.session, t.cmd_sn, t.part);
+        first.entry(key).or_insert((a.received_us, t.volume, f64::from(t.milli_units) / 1_000.0));
     }
     let one = |e: &ExpectTable| {
         let volume = plan.volumes.iter().find(|v| v.name == e.volume);
--- a/crates/day/src/figures.rs
+++ b/crates/day/src/figures.rs
@@ -2,25 +2,27 @@
 
 use pearfork::{Effect, Group};
 use pearfork_host::settings::HostSettings;
-use pearfork_rulecheck::record::{Class, ClassOf, Figures, Group as SameNodes, Repeats, Volume};
-use pearfork_rulecheck::wire::{Op, Touch};
+use pearfork_rulecheck::record::{
+    Class, ClassOf, Effect as CheckedEffect, Group as CheckedGroup, RuleParameters, Volume,
+};
+use pearfork_rulecheck::wire::{MediaAccess, Op};
 use pearfork_scsi::{Media, MediaOp};
 use std::sync::Arc;
 
 /// The figures that a record of hosts with this plan is judged by; `began_ms` is when it began, of the Unix epoch.
-pub fn of_plan(plan: &HostSettings, margin_ms: f64, began_ms: f64) -> Figures {
+pub fn of_plan(plan: &HostSettings, margin_ms: f64, began_ms: f64) -> RuleParameters {
     let m = &plan.scheduler;
     let classes = plan.class_names.iter().zip(&m.classes).map(|(name, c)| Class {
         name: name.clone(),
         deadline_ms: c.deadline_ms,
-        repeats: match c.effect {
-            Effect::Safe => Repeats::Safe,
-            Effect::Unsafe => Repeats::Unsafe,
-            Effect::Keyed => Repeats::Keyed {
+        effect: match c.effect {
+            Effect::Safe => CheckedEffect::Safe,
+            Effect::Unsafe => CheckedEffect::Unsafe,
+            Effect::Keyed => CheckedEffect::Keyed {
                 group: match c.group {
-                    Group::All => SameNodes::All,
-                    Group::Zone => SameNodes::Zone,
-                    Group::Shard => SameNodes::Shard,
+                    Group::All => CheckedGroup::All,
+                    Group::Zone => CheckedGroup::Zone,
+                    Group::Shard => CheckedGroup::Shard,
                 },
                 window_ms: c.window_ms,
             },
@@ -28,7 +30,7 @@
         ordered: c.ordered,
     });
     let own = plan.clone();
-    let class_of = move |volume: u32, t: &Touch| {
+    let class_of = move |volume: u32, t: &MediaAccess| {
         let volume = own.volumes.get(volume as usize)?;
         let op = match t.op {
             Op::Read => MediaOp::Read,
@@ -45,12 +47,12 @@
     let volumes = plan.volumes.iter().map(|v| {
         let p = &m.plans[usize::from(v.plan)];
         Volume {
-            block: u64::from(v.unit.block_len),
+            block_bytes: u64::from(v.unit.block_len),
             extent_blocks: v.extent_blocks,
             limit: (p.limit > 0.0).then_some((p.limit, p.burst, p.slack)),
         }
     });
-    Figures {
+    RuleParameters {
         classes: classes.collect(),
         class_of: ClassOf(Arc::new(class_of)),
         volumes: volumes.collect(),
@@ -60,8 +62,8 @@
         fall_multiple: m.fall_multiple,
         fall_ms: m.fall_ms,
         cold_units: m.cold_units,
-        key_rest_ms: m.key_rest_ms,
-        budget: m.retry_budget.map(|e| (e.free, e.ratio, e.span_ms)),
+        key_cooldown_ms: m.key_rest_ms,
+        retry_budget: m.retry_budget.map(|e| (e.free, e.ratio, e.span_ms)),
         margin_ms,
     }
 }
--- a/crates/day/src/judge.rs
+++ b/crates/day/src/judge.rs
@@ -4,7 +4,7 @@
 use pearfork_host::settings::{HostSettings, HostSettingsErrors};
 use pearfork_record::Recording;
 use pearfork_rulecheck::trace::Trace;
-use pearfork_rulecheck::{check_trace, Figures, Note, Report};
+use pearfork_rulecheck::{check_trace, Report, RuleParameters, TraceEvent};
 use pearfork_scsi::unit_of;
 
 /// A record that can't be judged.
@@ -23,16 +23,16 @@
     /// Commands and attempts.
     pub trace: Trace,
     /// What they were judged by.
-    pub figures: Figures,
+    pub figures: RuleParameters,
 }
 
 /// The seven rules over notes of hosts with a plan. In a day each volume has a unit number of its own.
-pub fn judge_notes(notes: &[Note], plan: &HostSettings, figures: Figures) -> Judged {
+pub fn judge_notes(notes: &[TraceEvent], plan: &HostSettings, figures: RuleParameters) -> Judged {
     let volume_of = |_: u16, lun: u64| {
         let unit = unit_of(lun)?;
         plan.volumes.iter().find(|v| v.lun == unit).map(|v| v.id.0)
     };
-    let trace = Trace::read(notes, &figures, &volume_of);
+    let trace = Trace::from_events(notes, &figures, &volume_of);
     Judged { report: check_trace(notes, &trace, &figures), trace, figures }
 }
 
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -8,8 +8,10 @@
 use pearfork_host::settings::HostSettings;
 use pearfork_host::HostError;
 use pearfork_record::{Counted, Head, Recording, Said};
-use pearfork_rulecheck::{Note, Report, What};
-use pearfork_stand::{Client, ClientSpec, ClientTally, Fault, Fleet, FleetSpec, Recorder};
+use pearfork_rulecheck::{Report, TraceEvent, TraceEventKind};
+use pearfork_stand::{
+    FakeClient, FakeClientSpec, FakeClientStats, FakeCluster, FakeClusterSpec, NodeFault, Recorder,
+};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -92,7 +94,7 @@
 #[derive(Debug)]
 pub struct DayResult {
     /// Tallies of the clients, by name.
-    pub clients: Vec<(String, ClientTally)>,
+    pub clients: Vec<(String, FakeClientStats)>,
     /// Counts of each host by class.
     pub hosts: Vec<Vec<ClassCounts>>,
     /// Refusals and failures of all hosts, by what went on at the time.
@@ -104,9 +106,9 @@
     /// The seven rules.
     pub rules: Report,
     /// The record, for tests that break it on purpose.
-    pub notes: Vec<Note>,
+    pub notes: Vec<TraceEvent>,
     /// What it was judged by.
-    pub figures: pearfork_rulecheck::Figures,
+    pub figures: pearfork_rulecheck::RuleParameters,
     /// What was promised of volumes with a limit, and what came.
     pub expected: Vec<Expected>,
     /// Nodes that fell over cold.
@@ -194,18 +196,18 @@
     let recorder = Recorder::default();
     let mut said = Vec::new();
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let spec = FleetSpec {
-        count: day.nodes.count,
+    let spec = FakeClusterSpec {
+        node_count: day.nodes.count,
         racks: day.nodes.racks,
         replicas: day.nodes.replicas,
         cores: day.nodes.cores,
-        waiting: day.nodes.waiting,
-        work: day.nodes.work.duration(),
-        deferred: day.nodes.deferred,
-        repeats_dropped: day.nodes.repeats_dropped.duration(),
+        queue_capacity: day.nodes.waiting,
+        unit_work: day.nodes.work.duration(),
+        deferred_fraction: day.nodes.deferred,
+        repeat_window: day.nodes.repeats_dropped.duration(),
     };
     let late = day.day.directory_late.duration();
-    let fleet = Fleet::start(&spec, &plan.scheduler, anywhere, late, &recorder)?;
+    let fleet = FakeCluster::start(&spec, &plan.scheduler, anywhere, late, &recorder)?;
     let hosts = crew.start(day, plan, fleet.directory().address())?;
     let clients = start_clients(day, plan, &hosts, &recorder)?;
     let steps = timeline(day);
@@ -241,16 +243,17 @@
     // What is out ends by its deadline; nothing is cut off by the end of the day.
     let longest = plan.scheduler.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let within = Duration::from_secs_f64(longest / 1_000.0) + Duration::from_secs(1);
-    let done: Vec<(String, ClientTally)> = clients.into_iter().map(|(n, c)| (n, c.finish(within))).collect();
+    let done: Vec<(String, FakeClientStats)> =
+        clients.into_iter().map(|(n, c)| (n, c.finish(within))).collect();
     ledger.close(began.elapsed(), crew);
     let counts: Vec<Counts> = (0..hosts.len()).map(|i| ledger.counts(i, crew)).collect();
     crew.stop();
     let (by_class, reasons) = counts.into_iter().unzip();
     std::thread::sleep(Duration::from_millis(50));
-    let notes = recorder.notes();
+    let notes = recorder.events();
     let figures = figures::of_plan(plan, day.day.margin.ms(), began_ms);
     let judged = judge_notes(&notes, plan, figures);
-    let fallen = fleet.nodes().iter().filter(|n| n.has_fallen()).map(|n| n.spec().id).collect();
+    let fallen = fleet.nodes().iter().filter(|n| n.has_crashed()).map(|n| n.spec().id).collect();
     Ok(DayResult {
         clients: done,
         hosts: by_class,
@@ -272,7 +275,7 @@
     plan: &HostSettings,
     hosts: &[SocketAddr],
     recorder: &Recorder,
-) -> Result<Vec<(String, Client)>, DayError> {
+) -> Result<Vec<(String, FakeClient)>, DayError> {
     let mut clients = Vec::new();
     for (t, table) in day.client.iter().enumerate() {
         let Some(volume) = plan.volumes.iter().find(|v| v.name == table.volume) else {
@@ -294,25 +297,25 @@
         }
         for n in 0..table.count {
             let host = table.host.unwrap_or((clients.len() % hosts.len()) as u16);
-            let spec = ClientSpec {
+            let spec = FakeClientSpec {
                 name: format!("{}{n}", table.name),
                 seed: day.day.seed.wrapping_mul(4_096).wrapping_add(clients.len() as u64 + 1),
                 host: (host, hosts[usize::from(host)]),
                 target: volume.target.clone(),
                 lun: volume.lun,
-                block: volume.unit.block_len,
+                block_bytes: volume.unit.block_len,
                 region: ((before + u64::from(n)) * each, each),
                 rate: table.rate,
-                writes: table.writes,
-                compares: table.compares,
-                flushes: table.flushes,
-                small: table.small,
-                large: table.large,
-                large_part: table.large_part,
-                aborts: table.aborts,
-                retries: table.retries,
+                write_fraction: table.writes,
+                compare_and_write_fraction: table.compares,
+                flush_fraction: table.flushes,
+                small_blocks: table.small,
+                large_blocks: table.large,
+                large_read_fraction: table.large_part,
+                abort_fraction: table.aborts,
+                max_retries: table.retries,
             };
-            clients.push((table.name.clone(), Client::start(spec, recorder.clone())?));
+            clients.push((table.name.clone(), FakeClient::start(spec, recorder.clone())?));
         }
     }
     Ok(clients)
@@ -332,10 +335,10 @@
 
 fn begin(
     e: &EventTable,
-    fleet: &Fleet,
+    fleet: &FakeCluster,
     crew: &mut dyn Crew,
     ledger: &mut Ledger,
-    clients: &[(String, Client)],
+    clients: &[(String, FakeClient)],
     recorder: &Recorder,
 ) -> Result<String, DayError> {
     let node = || fleet.node(e.node.unwrap_or(1));
@@ -343,33 +346,33 @@
     let span = e.lasts.unwrap_or_default().duration();
     let named = || clients.iter().filter(|(n, _)| Some(n) == e.client.as_ref());
     match e.what {
-        EventKind::Hang => node().fault(Fault::Hang(true)),
-        EventKind::Slow => node().fault(Fault::Slow(times)),
-        EventKind::Reset => node().fault(Fault::Reset),
-        EventKind::ResetAtR2t => node().fault(Fault::ResetAtR2t(true)),
-        EventKind::TurnAway => node().fault(Fault::TurnAway(true)),
-        EventKind::ForgetRepeats => node().fault(Fault::ForgetRepeats(true)),
-        EventKind::StandStill => node().fault(Fault::StandStill(span)),
-        EventKind::Die => fleet.die(e.node.unwrap_or(1)),
-        EventKind::Drain => fleet.drain(e.node.unwrap_or(1)),
+        EventKind::Hang => node().set_fault(NodeFault::Hang(true)),
+        EventKind::Slow => node().set_fault(NodeFault::Slow(times)),
+        EventKind::Reset => node().set_fault(NodeFault::Reset),
+        EventKind::ResetAtR2t => node().set_fault(NodeFault::ResetAtR2t(true)),
+        EventKind::TurnAway => node().set_fault(NodeFault::RejectRequests(true)),
+        EventKind::ForgetRepeats => node().set_fault(NodeFault::ForgetKeys(true)),
+        EventKind::StandStill => node().set_fault(NodeFault::Pause(span)),
+        EventKind::Die => fleet.kill_node(e.node.unwrap_or(1)),
+        EventKind::Drain => fleet.drain_node(e.node.unwrap_or(1)),
         EventKind::HostStall => {
             let host = e.host.unwrap_or(0);
-            recorder.note(What::HostStalled { host, for_us: span.as_micros() as u64 });
+            recorder.record(TraceEventKind::HostStalled { host, for_us: span.as_micros() as u64 });
             crew.stall(host, span);
         }
         EventKind::HostKill => {
             let host = e.host.unwrap_or(0);
             ledger.lose(usize::from(host), crew);
-            recorder.note(What::HostKilled { host });
+            recorder.record(TraceEventKind::HostKilled { host });
             crew.kill(host);
         }
         EventKind::HostStop => {
             let host = e.host.unwrap_or(0);
-            recorder.note(What::HostStalled { host, for_us: span.as_micros() as u64 });
+            recorder.record(TraceEventKind::HostStalled { host, for_us: span.as_micros() as u64 });
             crew.trouble(e, true)?;
         }
-        EventKind::Surge => named().for_each(|(_, c)| c.surge(times)),
-        EventKind::Leave => named().for_each(|(_, c)| c.leave()),
+        EventKind::Surge => named().for_each(|(_, c)| c.set_rate_multiplier(times)),
+        EventKind::Leave => named().for_each(|(_, c)| c.reconnect()),
         EventKind::DirectoryDown => fleet.directory().set_down(true),
         _ => crew.trouble(e, true)?,
     }
@@ -378,22 +381,25 @@
 
 fn end(
     e: &EventTable,
-    fleet: &Fleet,
+    fleet: &FakeCluster,
     crew: &mut dyn Crew,
-    clients: &[(String, Client)],
+    clients: &[(String, FakeClient)],
 ) -> Result<String, DayError> {
     let id = e.node.unwrap_or(1);
     let node = || fleet.node(id);
     match e.what {
-        EventKind::Hang => node().fault(Fault::Hang(false)),
-        EventKind::Slow => node().fault(Fault::Slow(1.0)),
-        EventKind::ResetAtR2t => node().fault(Fault::ResetAtR2t(false)),
-        EventKind::TurnAway => node().fault(Fault::TurnAway(false)),
-        EventKind::ForgetRepeats => node().fault(Fault::ForgetRepeats(false)),
-        EventKind::Die | EventKind::Drain => fleet.restart(id)?,
+        EventKind::Hang => node().set_fault(NodeFault::Hang(false)),
+        EventKind::Slow => node().set_fault(NodeFault::Slow(1.0)),
+        EventKind::ResetAtR2t => node().set_fault(NodeFault::ResetAtR2t(false)),
+        EventKind::TurnAway => node().set_fault(NodeFault::RejectRequests(false)),
+        EventKind::ForgetRepeats => node().set_fault(NodeFault::ForgetKeys(false)),
+        EventKind::Die | EventKind::Drain => fleet.restart_node(id)?,
         EventKind::HostKill => crew.restart(e.host.unwrap_or(0))?,
         EventKind::Surge => {
-            clients.iter().filter(|(n, _)| Some(n) == e.client.as_ref()).for_each(|(_, c)| c.surge(1.0));
+            clients
+                .iter()
+                .filter(|(n, _)| Some(n) == e.client.as_ref())
+                .for_each(|(_, c)| c.set_rate_multiplier(1.0));
         }
         EventKind::DirectoryDown => fleet.directory().set_down(false),
         EventKind::Reset | EventKind::StandStill | EventKind::HostStall | EventKind::Leave => {}
@@ -419,10 +425,10 @@
     format!("{:?}{whom}", e.what)
 }
 
-fn line(clients: &[(String, Client)]) -> String {
+fn line(clients: &[(String, FakeClient)]) -> String {
     let sum = clients
         .iter()
-        .map(|(_, c)| c.tally())
+        .map(|(_, c)| c.stats())
         .fold((0, 0, 0, 0), |s, t| (s.0 + t.sent, s.1 + t.served, s.2 + t.refused, s.3 + t.failed));
     format!("sent {} served {} refused {} failed {}", sum.0, sum.1, sum.2, sum.3)
 }
--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -32,8 +32,8 @@
         rule: f.rule.to_string(),
         checks: f.checks,
         nearest: f.nearest,
-        broken: f.broken.len(),
-        words: f.broken.iter().take(BREAKS).cloned().collect(),
+        broken: f.violations.len(),
+        words: f.violations.iter().take(BREAKS).cloned().collect(),
     };
     report.0.iter().map(line).collect()
 }
@@ -144,15 +144,15 @@
                 left: sum(|c| c.abandoned),
             }
         };
-        let client = |(name, t): &(String, pearfork_stand::ClientTally)| {
-            let ms = |q| t.times.value_at_quantile(q) as f64 / 1_000.0;
+        let client = |(name, t): &(String, pearfork_stand::FakeClientStats)| {
+            let ms = |q| t.latency_us.value_at_quantile(q) as f64 / 1_000.0;
             ClientLine {
                 client: name.clone(),
                 sent: t.sent,
                 served: t.served,
                 p50_ms: ms(0.5),
                 p99_ms: ms(0.99),
-                proved: t.proved,
+                proved: t.verified_blocks,
                 stale: t.stale.len(),
             }
         };
@@ -162,7 +162,7 @@
             reasons: d.reasons.by_reason(|_| true).into_iter().map(|(r, n)| (r.label(), n)).collect(),
         };
         Summary {
-            right: r.rules.kept()
+            right: r.rules.passed()
                 && r.stale().is_empty()
                 && r.fallen.is_empty()
                 && r.expected.iter().all(|e| e.right),
--- a/crates/day/tests/customers.rs
+++ b/crates/day/tests/customers.rs
@@ -15,7 +15,7 @@
     assert_eq!(plan.warnings, Vec::<String>::new());
     let day = Day::from_toml(&std::fs::read_to_string(example("days", customer)).unwrap()).unwrap();
     let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
-    assert!(result.rules.kept(), "{customer}\n{}", result.rules);
+    assert!(result.rules.passed(), "{customer}\n{}", result.rules);
     assert_eq!(result.stale(), Vec::<&str>::new());
     for class in busy {
         let at = result.class_names.iter().position(|c| c == class).unwrap();
--- a/crates/gateway/benches/bed/mod.rs
+++ b/crates/gateway/benches/bed/mod.rs
@@ -6,7 +6,7 @@
 use pearfork_iscsi::{Command, InitiatorConfig, Payload};
 use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
 use pearfork_scsi::{Media, MediaOp};
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::channel;
@@ -190,10 +190,17 @@
 }
 
 /// A node whose work costs nothing, so that what is measured is what stands before it; and its directory.
-pub fn free_node() -> Fleet {
+pub fn free_node() -> FakeCluster {
     let plan = HostSettings::from_toml(&settings(([127, 0, 0, 1], 9).into())).expect("settings");
     let work = Duration::from_nanos(1);
-    let spec = FleetSpec { count: 1, racks: 1, waiting: 1000, work, ..FleetSpec::default() };
+    let spec = FakeClusterSpec {
+        node_count: 1,
+        racks: 1,
+        queue_capacity: 1000,
+        unit_work: work,
+        ..FakeClusterSpec::default()
+    };
     let nowhere = ([127, 0, 0, 1], 0).into();
-    Fleet::start(&spec, &plan.scheduler, nowhere, Duration::ZERO, &Recorder::off()).expect("a node")
+    FakeCluster::start(&spec, &plan.scheduler, nowhere, Duration::ZERO, &Recorder::disabled())
+        .expect("a node")
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -8,7 +8,7 @@
 use pearfork_cli::{Common, Exit, Output, SettingsArguments};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use serde::Serialize;
 use signal_hook::consts::{SIGHUP, SIGINT};
 use std::net::SocketAddr;
@@ -103,20 +103,20 @@
 }
 
 /// The embedded nodes that the settings ask for.
-fn embedded(plan: &HostSettings) -> Result<Option<Fleet>, String> {
+fn embedded(plan: &HostSettings) -> Result<Option<FakeCluster>, String> {
     let Some(e) = &plan.embedded else { return Ok(None) };
     let longest = plan.scheduler.classes.iter().map(|c| c.window_ms).fold(0.0, f64::max);
-    let spec = FleetSpec {
-        count: e.nodes,
+    let spec = FakeClusterSpec {
+        node_count: e.nodes,
         racks: 1,
         replicas: 1,
         cores: e.cores,
-        waiting: e.waiting,
-        work: e.work.duration(),
-        deferred: 0.0,
-        repeats_dropped: Duration::from_secs_f64(longest / 1_000.0),
+        queue_capacity: e.waiting,
+        unit_work: e.work.duration(),
+        deferred_fraction: 0.0,
+        repeat_window: Duration::from_secs_f64(longest / 1_000.0),
     };
-    Fleet::start(&spec, &plan.scheduler, plan.directory, Duration::ZERO, &Recorder::off())
+    FakeCluster::start(&spec, &plan.scheduler, plan.directory, Duration::ZERO, &Recorder::disabled())
         .map(Some)
         .map_err(|e| format!("embedded nodes, directory at {}: {e}", plan.directory))
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use pearfork_host::Host;
 use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
 use pearfork_net::{Connection, ConnectionEvent, TapRef, Token};
-use pearfork_rulecheck::{Place, Report, What};
+use pearfork_rulecheck::{Endpoint, Report, TraceEventKind};
 use pearfork_scsi::{lun_field, Media, MediaOp};
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -28,22 +28,22 @@
 
 pub struct World {
     pub plan: HostSettings,
-    pub fleet: Fleet,
+    pub fleet: FakeCluster,
     pub hosts: Vec<Host>,
     pub recorder: Recorder,
 }
 
 impl World {
     pub fn new(hosts: u16) -> World {
-        Self::with(hosts, &FleetSpec::default(), HOSTS)
+        Self::with(hosts, &FakeClusterSpec::default(), HOSTS)
     }
 
-    pub fn with(hosts: u16, spec: &FleetSpec, settings: &str) -> World {
+    pub fn with(hosts: u16, spec: &FakeClusterSpec, settings: &str) -> World {
         let mut plan = HostSettings::from_toml(settings).unwrap_or_else(|e| panic!("{e}"));
         plan.scheduler.hosts = u32::from(hosts);
         plan.volumes.iter_mut().for_each(|v| v.hosts = u32::from(hosts));
         let recorder = Recorder::default();
-        let fleet = Fleet::start(spec, &plan.scheduler, anywhere(), Duration::ZERO, &recorder).unwrap();
+        let fleet = FakeCluster::start(spec, &plan.scheduler, anywhere(), Duration::ZERO, &recorder).unwrap();
         let mut world = World { plan, fleet, hosts: Vec::new(), recorder };
         (0..hosts).for_each(|number| world.add_host(number));
         world
@@ -64,12 +64,12 @@
     }
 
     pub fn rules(&self) -> Report {
-        judge_notes(&self.recorder.notes(), &self.plan, figures::of_plan(&self.plan, 500.0, 0.0)).report
+        judge_notes(&self.recorder.events(), &self.plan, figures::of_plan(&self.plan, 500.0, 0.0)).report
     }
 
     pub fn assert_rules(&self) {
         let report = self.rules();
-        assert!(report.kept(), "\n{report}");
+        assert!(report.passed(), "\n{report}");
     }
 
     pub fn asker(&self, host: usize, volume: usize) -> Asker {
@@ -79,7 +79,7 @@
 
     /// Effects noted by nodes.
     pub fn applied(&self) -> usize {
-        self.recorder.notes().iter().filter(|n| matches!(n.what, What::Applied { .. })).count()
+        self.recorder.events().iter().filter(|n| matches!(n.kind, TraceEventKind::Applied { .. })).count()
     }
 }
 
@@ -123,7 +123,7 @@
             digests: false,
             extension: false,
         };
-        let tap = recorder.tap(Place::Client { host }, |_, _, _| {}).map(|t| (t, 0));
+        let tap = recorder.tap(Endpoint::Client { host }, |_, _, _| {}).map(|t| (t, 0));
         let tell = move |e| drop(to.send(e));
         let connection = Connection::open(address, config, LONG, TapRef(tap), tell)?;
         Ok(Asker { connection, events, unit: volume.lun, next: std::cell::Cell::new(1) })
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -5,7 +5,7 @@
 use pearfork_day::{play, DayResult};
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::Rule;
-use pearfork_trial::{Processes, Program};
+use pearfork_trial::{HostProcesses, ProcessConfig};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -24,7 +24,7 @@
     }
     let plan = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
     let folder = tempfile::tempdir().unwrap();
-    let mut crew = Processes::new(Program {
+    let mut crew = HostProcesses::new(ProcessConfig {
         gateway: env!("CARGO_BIN_EXE_pearfork-gateway").into(),
         settings: SETTINGS.to_owned(),
         folder: folder.path().to_owned(),
@@ -33,7 +33,7 @@
     let result = play(&day, &plan, &mut crew, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
     let summary = Summary::of(&result);
     assert!(summary.right, "{name}\n{}{}", summary.words(plain()), logs(folder.path()));
-    let limits = result.rules.of(Rule::Limits).unwrap();
+    let limits = result.rules.finding(Rule::Limits).unwrap();
     assert!(limits.checks > 100, "{name}: nothing to judge");
     (summary, result)
 }
--- a/crates/gateway/tests/front.rs
+++ b/crates/gateway/tests/front.rs
@@ -5,7 +5,7 @@
 use pearfork_iscsi::{InitiatorConfig, InitiatorError, LoginStatus};
 use pearfork_net::{ConnectError, Connection, ConnectionEvent, TapRef};
 use pearfork_scsi::{lun_field, status, Media, MediaOp, SenseKey};
-use pearfork_stand::FleetSpec;
+use pearfork_stand::FakeClusterSpec;
 
 fn keyless() -> String {
     // No class is keyed, and nothing of the extension is offered to nodes.
@@ -15,7 +15,7 @@
 
 #[test]
 fn nodes_may_be_plain_iscsi_targets() {
-    let w = World::with(1, &FleetSpec::default(), &keyless());
+    let w = World::with(1, &FakeClusterSpec::default(), &keyless());
     let a = w.asker(0, 0);
     for n in 0..40u64 {
         let lba = n * 1_001;
@@ -32,7 +32,7 @@
         "plan = \"prioritaire\"\ninitiators = [\"iqn.2026-12.org.example:asker\"]\n",
         1,
     );
-    let w = World::with(1, &FleetSpec::default(), &listed);
+    let w = World::with(1, &FakeClusterSpec::default(), &listed);
     assert_eq!(w.asker(0, 0).read(0, 1).status, status::GOOD);
     let login = |name: &str, target: &str| {
         let config = InitiatorConfig {
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_reset_of_a_unit_ends_the_tasks_of_all_sessions_and_the_others_are_told_once() {
-    let w = World::with(1, &FleetSpec { work: ms(400), ..FleetSpec::default() }, HOSTS);
+    let w = World::with(1, &FakeClusterSpec { unit_work: ms(400), ..FakeClusterSpec::default() }, HOSTS);
     let (a, b) = (w.asker(0, 0), Asker::open(w.hosts[0].address(), &w.recorder, 0, &w.plan, 0, 2).unwrap());
     b.send(MediaOp::Read, 0, 8, Vec::new());
     eventually("the read at the host", || {
--- a/crates/gateway/tests/routes.rs
+++ b/crates/gateway/tests/routes.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::{ended, eventually, ms, World, HOSTS};
-use pearfork_rulecheck::wire::{touch, NodeTag, Op};
-use pearfork_rulecheck::{Place, Rule, What};
+use pearfork_rulecheck::wire::{parse_media_access, CommandMetadata, Op};
+use pearfork_rulecheck::{Endpoint, Rule, TraceEventKind};
 use pearfork_scsi::{status, MediaOp, SenseKey};
-use pearfork_stand::{Fault, FleetSpec};
+use pearfork_stand::{FakeClusterSpec, NodeFault};
 use std::collections::BTreeMap;
 
 /// Two shards, two nodes each: 1 and 3 hold the first, 2 and 4 the second.
-fn spec() -> FleetSpec {
-    FleetSpec { replicas: 2, ..FleetSpec::default() }
+fn spec() -> FakeClusterSpec {
+    FakeClusterSpec { replicas: 2, ..FakeClusterSpec::default() }
 }
 
 fn settings(free: u32, classes: &[(&str, &str)], routes: &str, rows: &str) -> String {
@@ -40,11 +40,11 @@
 /// Attempts by the key of their request, in the order of their numbers.
 fn attempts(w: &World) -> Vec<Vec<Attempt>> {
     let mut by: BTreeMap<_, Vec<Attempt>> = BTreeMap::new();
-    for n in w.recorder.notes() {
-        if let What::Pdu { place: Place::Node { node }, sent: false, header, .. } = &n.what {
-            if let Some(tag) = NodeTag::find(&header.extra) {
-                let key = (tag.host, tag.boot, tag.session, tag.command, tag.part);
-                let op = touch(&header.bytes[32..48]).map(|t| t.op);
+    for n in w.recorder.events() {
+        if let TraceEventKind::Pdu { endpoint: Endpoint::Node { node }, sent: false, header, .. } = &n.kind {
+            if let Some(tag) = CommandMetadata::find(&header.extra) {
+                let key = (tag.host, tag.host_start_s, tag.session, tag.cmd_sn, tag.part);
+                let op = parse_media_access(&header.bytes[32..48]).map(|t| t.op);
                 by.entry(key).or_default().push(Attempt {
                     at_ms: n.at_us as f64 / 1e3,
                     node: *node,
@@ -69,7 +69,7 @@
     };
     // Whichever of the two holds the first attempt, the other serves the second.
     for hung in [1, 3] {
-        w.fleet.node(hung).fault(Fault::Hang(true));
+        w.fleet.node(hung).set_fault(NodeFault::Hang(true));
         for n in 0..4 {
             let d = read(n * 8 % 16, 8);
             assert_eq!(d.status, status::GOOD, "node {hung} hangs");
@@ -77,7 +77,7 @@
                 assert_eq!(d.data.to_bytes(), vec![7; 4096]);
             }
         }
-        w.fleet.node(hung).fault(Fault::Hang(false));
+        w.fleet.node(hung).set_fault(NodeFault::Hang(false));
         eventually("both nodes", || read(0, 8).status == status::GOOD);
     }
     let all = attempts(&w);
@@ -98,8 +98,8 @@
 fn writes_have_no_second_copy_where_none_is_asked() {
     let w = World::with(1, &spec(), &settings(40, &[("small-read", "second_copy_after = \"60ms\"")], "", ""));
     let a = w.asker(0, 0);
-    w.fleet.node(1).fault(Fault::Hang(true));
-    w.fleet.node(3).fault(Fault::Hang(true));
+    w.fleet.node(1).set_fault(NodeFault::Hang(true));
+    w.fleet.node(3).set_fault(NodeFault::Hang(true));
     assert_eq!(ended(&a.write(0, 8, 7)), (status::CHECK_CONDITION, SenseKey::AbortedCommand as u8));
     let of_write = attempts(&w);
     assert_eq!((of_write.len(), of_write[0].len()), (1, 1), "{of_write:?}");
@@ -113,14 +113,14 @@
     for fill in 1..=6u8 {
         // A node that is slow, not dead: the first copy runs too, late.
         let slow = if fill % 2 == 0 { 1 } else { 3 };
-        w.fleet.node(slow).fault(Fault::Slow(400.0));
+        w.fleet.node(slow).set_fault(NodeFault::Slow(400.0));
         assert_eq!(a.write(0, 8, fill).status, status::GOOD);
-        w.fleet.node(slow).fault(Fault::Slow(1.0));
+        w.fleet.node(slow).set_fault(NodeFault::Slow(1.0));
     }
     assert!(attempts(&w).iter().any(|r| r.len() == 2));
     std::thread::sleep(ms(900));
     assert_eq!(a.read(0, 8).data.to_bytes(), vec![6; 4096], "a late copy must not undo a later write");
-    assert_eq!(w.rules().of(Rule::NoEffectTwice).map(|f| f.broken.len()), Some(0));
+    assert_eq!(w.rules().finding(Rule::NoEffectTwice).map(|f| f.violations.len()), Some(0));
     w.assert_rules();
 }
 
@@ -132,8 +132,8 @@
     let row = "class \"impatient\" if volume == \"notes\" and op == \"read\" and blocks == 16;";
     let w = World::with(1, &spec(), &settings(40, &[], route, row));
     let a = w.asker(0, 0);
-    w.fleet.node(1).fault(Fault::Hang(true));
-    w.fleet.node(3).fault(Fault::Hang(true));
+    w.fleet.node(1).set_fault(NodeFault::Hang(true));
+    w.fleet.node(3).set_fault(NodeFault::Hang(true));
     let asked_ms = w.recorder.elapsed_us() as f64 / 1e3;
     let d = a.read(0, 16);
     // Two attempts timed out: a read may be tried again, and is refused.
@@ -148,8 +148,8 @@
     std::thread::sleep(ms(600));
     let of_no_route = attempts(&w).into_iter().filter(|r| r.len() == 1).count();
     assert_eq!(of_no_route, 1, "one attempt, which waits as long as its client");
-    w.fleet.node(1).fault(Fault::Hang(false));
-    w.fleet.node(3).fault(Fault::Hang(false));
+    w.fleet.node(1).set_fault(NodeFault::Hang(false));
+    w.fleet.node(3).set_fault(NodeFault::Hang(false));
     a.done();
     w.assert_rules();
 }
@@ -158,8 +158,8 @@
 fn the_retry_budget_holds_while_half_of_the_nodes_hang() {
     let terms = "attempt = \"100ms\"\nattempts = 4\nsecond_copy_after = \"30ms\"";
     let w = World::with(2, &spec(), &settings(3, &[("small-read", terms)], "", ""));
-    w.fleet.node(1).fault(Fault::Hang(true));
-    w.fleet.node(4).fault(Fault::Hang(true));
+    w.fleet.node(1).set_fault(NodeFault::Hang(true));
+    w.fleet.node(4).set_fault(NodeFault::Hang(true));
     std::thread::scope(|s| {
         for client in 0..4u8 {
             let w = &w;
@@ -179,6 +179,6 @@
     let further: usize = attempts(&w).iter().map(|r| r.len() - 1).sum();
     assert!(further > 0, "some went again");
     let report = w.rules();
-    assert!(report.of(Rule::RetryBudget).is_some_and(|f| f.checks > 0));
-    assert!(report.kept(), "\n{report}");
+    assert!(report.finding(Rule::RetryBudget).is_some_and(|f| f.checks > 0));
+    assert!(report.passed(), "\n{report}");
 }
--- a/crates/gateway/tests/troubles.rs
+++ b/crates/gateway/tests/troubles.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::*;
 use pearfork_net::ConnectionEvent;
-use pearfork_rulecheck::wire::NodeTag;
-use pearfork_rulecheck::{Place, Rule, What};
+use pearfork_rulecheck::wire::CommandMetadata;
+use pearfork_rulecheck::{Endpoint, Rule, TraceEventKind};
 use pearfork_scsi::{status, MediaOp, SenseKey};
-use pearfork_stand::{Fault, FleetSpec};
+use pearfork_stand::{FakeClusterSpec, NodeFault};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
@@ -28,10 +28,10 @@
     // Both nodes took a part.
     let parts: std::collections::BTreeSet<u32> = w
         .recorder
-        .notes()
+        .events()
         .iter()
-        .filter_map(|n| match n.what {
-            What::Applied { node, .. } => Some(node),
+        .filter_map(|n| match n.kind {
+            TraceEventKind::Applied { node, .. } => Some(node),
             _ => None,
         })
         .collect();
@@ -70,7 +70,7 @@
 fn a_node_that_answers_nothing_leaves_each_request_one_honest_answer_in_time() {
     let w = World::new(1);
     let a = w.asker(0, 0);
-    w.fleet.node(1).fault(Fault::Hang(true));
+    w.fleet.node(1).set_fault(NodeFault::Hang(true));
     let began = Instant::now();
     a.send(MediaOp::Read, 0, 8, Vec::new());
     a.send(MediaOp::Write, 64, 8, vec![1; 4096]);
@@ -82,7 +82,7 @@
     assert!(matches!(ends[0].1.status, status::BUSY | status::TASK_SET_FULL));
     assert_eq!(ended(&ends[1].1), (status::CHECK_CONDITION, SenseKey::AbortedCommand as u8));
     assert_eq!(ended(&ends[2].1), (status::CHECK_CONDITION, SenseKey::AbortedCommand as u8));
-    w.fleet.node(1).fault(Fault::Hang(false));
+    w.fleet.node(1).set_fault(NodeFault::Hang(false));
     // Answers that come after their time-outs answer nobody, and the tags serve others rightly.
     for fill in 1..20u8 {
         eventually("a write that is served", || a.write(8, 4, fill).status == status::GOOD);
@@ -95,12 +95,12 @@
 fn a_node_that_resets_between_r2t_and_data_loses_no_write_and_doubles_none() {
     let w = World::new(1);
     let a = w.asker(0, 0);
-    w.fleet.node(2).fault(Fault::ResetAtR2t(true));
+    w.fleet.node(2).set_fault(NodeFault::ResetAtR2t(true));
     // Longer than the first burst of 256 KiB, so that the node asks for the rest.
     let d = a.write(in_shard(1), 1024, 9);
     assert_ne!(d.status, status::GOOD);
     assert_eq!(w.applied(), 0, "a torn write must change nothing");
-    w.fleet.node(2).fault(Fault::ResetAtR2t(false));
+    w.fleet.node(2).set_fault(NodeFault::ResetAtR2t(false));
     eventually("the write", || a.write(in_shard(1), 1024, 9).status == status::GOOD);
     assert_eq!(a.read(in_shard(1), 1024).data.to_bytes(), vec![9; 1024 * 512]);
     w.assert_rules();
@@ -108,28 +108,28 @@
 
 #[test]
 fn a_node_that_drains_during_a_write_ends_it_honestly_and_gets_nothing_new() {
-    let w = World::with(1, &FleetSpec { work: ms(300), ..FleetSpec::default() }, HOSTS);
+    let w = World::with(1, &FakeClusterSpec { unit_work: ms(300), ..FakeClusterSpec::default() }, HOSTS);
     let a = w.asker(0, 0);
     a.send(MediaOp::Write, 0, 8, vec![3; 4096]);
     eventually("the write at the node", || {
-        w.recorder.notes().iter().any(|n| {
-        matches!(&n.what, What::Pdu { place: Place::Node { node: 1 }, sent: false, header, .. } if header.op() == 1)
+        w.recorder.events().iter().any(|n| {
+        matches!(&n.kind, TraceEventKind::Pdu { endpoint: Endpoint::Node { node: 1 }, sent: false, header, .. } if header.opcode() == 1)
     })
     });
-    w.fleet.drain(1);
+    w.fleet.drain_node(1);
     assert_eq!(a.done().1.status, status::GOOD, "what it had it finishes");
-    let told = |ready| move |n: &pearfork_rulecheck::Note| matches!(n.what, What::Told { node: 1, ready: r, .. } if r == ready);
-    eventually("word of the drain", || w.recorder.notes().iter().any(told(false)));
+    let told = |ready| move |n: &pearfork_rulecheck::TraceEvent| matches!(n.kind, TraceEventKind::NodeListed { node: 1, ready: r, .. } if r == ready);
+    eventually("word of the drain", || w.recorder.events().iter().any(told(false)));
     std::thread::sleep(ms(300));
-    let before = w.recorder.notes().len();
+    let before = w.recorder.events().len();
     for _ in 0..5 {
         a.send(MediaOp::Read, 0, 8, Vec::new());
     }
     for _ in 0..5 {
         assert_ne!(a.done().1.status, status::GOOD);
     }
-    let sent = w.recorder.notes()[before..].iter().filter(|n| {
-        matches!(&n.what, What::Pdu { place: Place::Node { node: 1 }, sent: false, header, .. } if header.op() == 1)
+    let sent = w.recorder.events()[before..].iter().filter(|n| {
+        matches!(&n.kind, TraceEventKind::Pdu { endpoint: Endpoint::Node { node: 1 }, sent: false, header, .. } if header.opcode() == 1)
     }).count();
     assert_eq!(sent, 0);
     w.assert_rules();
@@ -141,21 +141,21 @@
     let a = w.asker(0, 0);
     assert_eq!(a.write(0, 8, 1).status, status::GOOD);
     // A slow node whose connection drops with writes on it: they ran or will run, and go again in their window.
-    w.fleet.node(1).fault(Fault::Slow(100.0));
+    w.fleet.node(1).set_fault(NodeFault::Slow(100.0));
     for n in 0..4 {
         a.send(MediaOp::Write, 100 + n * 8, 8, vec![n as u8 + 1; 4096]);
     }
     eventually("all four sent", || w.hosts[0].node_counts().unwrap().get(&1).is_some_and(|c| c.sent >= 3));
-    w.fleet.node(1).fault(Fault::Reset);
-    w.fleet.node(1).fault(Fault::Slow(1.0));
+    w.fleet.node(1).set_fault(NodeFault::Reset);
+    w.fleet.node(1).set_fault(NodeFault::Slow(1.0));
     for _ in 0..4 {
         a.done();
     }
     let mut keys = std::collections::BTreeMap::new();
-    for n in w.recorder.notes() {
-        if let What::Pdu { place: Place::Node { .. }, sent: false, header, .. } = &n.what {
-            if let Some(tag) = NodeTag::find(&header.extra) {
-                keys.entry((tag.session, tag.command, tag.part)).or_insert_with(Vec::new).push(tag.attempt);
+    for n in w.recorder.events() {
+        if let TraceEventKind::Pdu { endpoint: Endpoint::Node { .. }, sent: false, header, .. } = &n.kind {
+            if let Some(tag) = CommandMetadata::find(&header.extra) {
+                keys.entry((tag.session, tag.cmd_sn, tag.part)).or_insert_with(Vec::new).push(tag.attempt);
             }
         }
     }
@@ -165,7 +165,7 @@
 
 #[test]
 fn an_abort_that_races_the_answer_leaves_no_second_one() {
-    let w = World::with(1, &FleetSpec { work: ms(2), ..FleetSpec::default() }, HOSTS);
+    let w = World::with(1, &FakeClusterSpec { unit_work: ms(2), ..FakeClusterSpec::default() }, HOSTS);
     let a = w.asker(0, 0);
     let mut ends = [0, 0];
     for n in 0..60u64 {
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_client_that_comes_again_with_its_isid_replaces_its_session() {
-    let w = World::with(1, &FleetSpec { work: ms(100), ..FleetSpec::default() }, HOSTS);
+    let w = World::with(1, &FakeClusterSpec { unit_work: ms(100), ..FakeClusterSpec::default() }, HOSTS);
     let a = w.asker(0, 0);
     for n in 0..8 {
         a.send(MediaOp::Read, n * 8, 8, Vec::new());
@@ -238,7 +238,7 @@
 #[test]
 fn forty_hosts_do_not_push_over_a_cold_node() {
     let settings = HOSTS.replace("cold_units = 40", "cold_units = 160");
-    let spec = FleetSpec { count: 1, racks: 1, work: ms(4), ..FleetSpec::default() };
+    let spec = FakeClusterSpec { node_count: 1, racks: 1, unit_work: ms(4), ..FakeClusterSpec::default() };
     let w = World::with(
         40,
         &spec,
@@ -259,18 +259,18 @@
         }
     };
     load(2, 0);
-    w.fleet.die(1);
-    w.fleet.restart(1).unwrap();
+    w.fleet.kill_node(1);
+    w.fleet.restart_node(1).unwrap();
     load(4, 7);
     eventually("all answers", || askers.iter().all(|a| a.connection.outstanding() == 0));
-    assert!(!w.fleet.node(1).has_fallen());
+    assert!(!w.fleet.node(1).has_crashed());
     w.assert_rules();
-    assert!(w.rules().of(Rule::ColdNodes).unwrap().checks > 20, "\n{}", w.rules());
+    assert!(w.rules().finding(Rule::ColdNodes).unwrap().checks > 20, "\n{}", w.rules());
 }
 
 #[test]
 fn a_stop_in_order_answers_what_was_taken() {
-    let w = World::with(1, &FleetSpec { work: ms(150), ..FleetSpec::default() }, HOSTS);
+    let w = World::with(1, &FakeClusterSpec { unit_work: ms(150), ..FakeClusterSpec::default() }, HOSTS);
     let a = w.asker(0, 0);
     for n in 0..4 {
         a.send(MediaOp::Read, in_shard(n), 8, Vec::new());
@@ -292,8 +292,8 @@
 #[test]
 fn a_host_that_restarts_next_to_a_node_that_just_did_knows_that_it_is_cold() {
     let mut w = World::new(1);
-    w.fleet.die(2);
-    w.fleet.restart(2).unwrap();
+    w.fleet.kill_node(2);
+    w.fleet.restart_node(2).unwrap();
     // Danger: a clock that began with the process would take the node's start for long ago.
     w.hosts.clear();
     w.add_host(0);
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -7,12 +7,12 @@
 use pearfork_load::session::{Pace, Plan};
 use pearfork_load::shape::{Places, Shape};
 use pearfork_load::url::UnitUrl;
-use pearfork_stand::{Fault, Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, NodeFault, Recorder};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 struct World {
-    fleet: Fleet,
+    fleet: FakeCluster,
     host: Host,
 }
 
@@ -25,9 +25,14 @@
         let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let text = include_str!("../../day/days/bad-day-hosts.toml");
         let mut plan = HostSettings::from_toml(text).unwrap_or_else(|e| panic!("{e}"));
-        let fleet =
-            Fleet::start(&FleetSpec::default(), &plan.scheduler, anywhere, Duration::ZERO, &Recorder::off())
-                .unwrap();
+        let fleet = FakeCluster::start(
+            &FakeClusterSpec::default(),
+            &plan.scheduler,
+            anywhere,
+            Duration::ZERO,
+            &Recorder::disabled(),
+        )
+        .unwrap();
         plan.scheduler.hosts = 1;
         plan.volumes.iter_mut().for_each(|v| v.hosts = 1);
         (plan.listen, plan.http, plan.directory) = (anywhere, Some(anywhere), fleet.directory().address());
@@ -74,19 +79,19 @@
     let (figures, _) = std::thread::scope(|s| {
         let load = s.spawn(|| run(&plan));
         for (node, fault, off) in [
-            (1, Fault::Hang(true), Fault::Hang(false)),
-            (2, Fault::Slow(20.0), Fault::Slow(1.0)),
-            (3, Fault::ResetAtR2t(true), Fault::ResetAtR2t(false)),
+            (1, NodeFault::Hang(true), NodeFault::Hang(false)),
+            (2, NodeFault::Slow(20.0), NodeFault::Slow(1.0)),
+            (3, NodeFault::ResetAtR2t(true), NodeFault::ResetAtR2t(false)),
         ] {
             std::thread::sleep(ms(200));
-            w.fleet.node(node).fault(fault);
+            w.fleet.node(node).set_fault(fault);
             std::thread::sleep(ms(300));
-            w.fleet.node(node).fault(off);
+            w.fleet.node(node).set_fault(off);
         }
-        w.fleet.node(4).fault(Fault::Reset);
-        w.fleet.die(2);
+        w.fleet.node(4).set_fault(NodeFault::Reset);
+        w.fleet.kill_node(2);
         std::thread::sleep(ms(300));
-        w.fleet.restart(2).unwrap();
+        w.fleet.restart_node(2).unwrap();
         load.join().unwrap().unwrap()
     });
     assert_eq!(figures.wrong, Vec::<String>::new());
@@ -97,7 +102,7 @@
 #[test]
 fn a_node_that_acknowledges_writes_and_keeps_none_is_found() {
     let w = World::new();
-    w.fleet.node(2).fault(Fault::LoseWrites(true));
+    w.fleet.node(2).set_fault(NodeFault::LoseWrites(true));
     let (figures, _) = run(&w.plan(Pace::Depth(4))).unwrap();
     assert!(figures.wrong_count > 0);
     assert!(figures.wrong.iter().all(|w| w.contains("was acknowledged")), "{:?}", figures.wrong);
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -11,7 +11,7 @@
 pub use read::{read, ReadError};
 pub use write::{write, Writer};
 
-use pearfork_rulecheck::Note;
+use pearfork_rulecheck::TraceEvent;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -85,7 +85,7 @@
     /// What the script did.
     pub said: Vec<Said>,
     /// What passed the sockets and what stand-ins knew, in the order of the times.
-    pub notes: Vec<Note>,
+    pub notes: Vec<TraceEvent>,
     /// What hosts counted.
     pub counted: Vec<Counted>,
     /// Whether the last line was there and right.
@@ -98,7 +98,7 @@
 enum Line {
     Head(Head),
     Said(Said),
-    Note(Note),
+    Note(TraceEvent),
     Counted(Counted),
     End(End),
 }
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -1,7 +1,7 @@
 //! Writes a record line by line.
 
 use crate::{Counted, End, Head, Line, Recording, Said, FORMAT};
-use pearfork_rulecheck::Note;
+use pearfork_rulecheck::TraceEvent;
 use std::io::{self, Write};
 
 /// Writes a record as it comes about; [`Writer::end`] makes it whole.
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// As the writer's.
-    pub fn note(&mut self, note: &Note) -> io::Result<()> {
+    pub fn note(&mut self, note: &TraceEvent) -> io::Result<()> {
         self.line(&Line::Note(note.clone()))
     }
 
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -2,7 +2,7 @@
 
 use pearfork_record::{read, write, Counted, Head, Recording, Said};
 use pearfork_rulecheck::wire::Header;
-use pearfork_rulecheck::{Note, Place, What};
+use pearfork_rulecheck::{Endpoint, TraceEvent, TraceEventKind};
 use proptest::prelude::*;
 
 fn sample() -> Recording {
@@ -11,18 +11,23 @@
         (bytes[0], bytes[19]) = (op, 7);
         Header { bytes, extra: vec![0xab; extra] }
     };
-    let pdu = |place, sent, op, extra| What::Pdu { place, stream: 3, sent, header: header(op, extra) };
+    let pdu = |endpoint, sent, op, extra| TraceEventKind::Pdu {
+        endpoint,
+        stream: 3,
+        sent,
+        header: header(op, extra),
+    };
     let whats = vec![
-        What::NodeStarted { node: 1, shard: 0, zone: 0, cold: false, units_per_s: 500.25 },
-        What::Told { host: 0, node: 1, ready: true, started_ms: 1e12 + 0.5 },
-        pdu(Place::Client { host: 0 }, true, 1, 0),
-        pdu(Place::Node { node: 1 }, false, 1, 28),
-        What::Applied { node: 1, key: (0, 9, 1, 2, 0) },
-        What::HostStalled { host: 0, for_us: 600_000 },
-        What::HostKilled { host: 1 },
-        What::Closed { stream: 3 },
+        TraceEventKind::NodeStarted { node: 1, shard: 0, zone: 0, cold: false, units_per_s: 500.25 },
+        TraceEventKind::NodeListed { host: 0, node: 1, ready: true, started_ms: 1e12 + 0.5 },
+        pdu(Endpoint::Client { host: 0 }, true, 1, 0),
+        pdu(Endpoint::Node { node: 1 }, false, 1, 28),
+        TraceEventKind::Applied { node: 1, key: (0, 9, 1, 2, 0) },
+        TraceEventKind::HostStalled { host: 0, for_us: 600_000 },
+        TraceEventKind::HostKilled { host: 1 },
+        TraceEventKind::Closed { stream: 3 },
     ];
-    let notes = whats.into_iter().enumerate().map(|(i, what)| Note { at_us: i as u64 * 10, what });
+    let notes = whats.into_iter().enumerate().map(|(i, kind)| TraceEvent { at_us: i as u64 * 10, kind });
     Recording {
         head: Head {
             name: "a \"day\"\n".to_owned(),
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -46,7 +46,7 @@
         hosts: recording.head.hosts,
         notes: recording.notes.len(),
         whole: recording.whole,
-        kept: report.kept(),
+        kept: report.passed(),
         rules: rules(&report),
     })
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -30,7 +30,7 @@
     let day = pearfork_day::script::Day::from_toml(DAY).unwrap();
     let result =
         pearfork_day::play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
-    assert!(result.rules.kept(), "\n{}", result.rules);
+    assert!(result.rules.passed(), "\n{}", result.rules);
     let path = folder.0.join("day.record");
     let file = std::fs::File::create(&path).unwrap();
     pearfork_record::write(std::io::BufWriter::new(file), &result.recording("a day", &day, &plan)).unwrap();
@@ -47,7 +47,9 @@
 
     // An effect that took place twice: the record is written anew, so that its checksum holds, and the rule is broken.
     let mut spoiled = pearfork_replay::open(&path).unwrap();
-    let effect = |n: &&pearfork_rulecheck::Note| matches!(n.what, pearfork_rulecheck::What::Applied { .. });
+    let effect = |n: &&pearfork_rulecheck::TraceEvent| {
+        matches!(n.kind, pearfork_rulecheck::TraceEventKind::Applied { .. })
+    };
     let twice = spoiled.notes.iter().find(effect).expect("an effect").clone();
     let at = spoiled.notes.partition_point(|n| n.at_us <= twice.at_us);
     spoiled.notes.insert(at, twice);
--- a/crates/report/src/account.rs
+++ b/crates/report/src/account.rs
@@ -34,11 +34,11 @@
 impl Ends {
     fn count(&mut self, c: &Command) {
         self.sent += 1;
-        match c.answers.first() {
+        match c.final_answers.first() {
             Some((_, GOOD)) => self.served += 1,
             Some((_, status)) if REFUSES.contains(status) => self.refused += 1,
             Some(_) => self.checked += 1,
-            None if c.left_us.is_some() => self.left += 1,
+            None if c.abandoned_us.is_some() => self.left += 1,
             None => self.unanswered += 1,
         }
     }
@@ -170,7 +170,8 @@
     let mut served: Vec<(u64, &Command)> = Vec::new();
     for c in trace.commands.values() {
         all.count(c);
-        let took = c.answers.first().filter(|a| a.1 == GOOD).map(|a| a.0.saturating_sub(c.whole_us));
+        let took =
+            c.final_answers.first().filter(|a| a.1 == GOOD).map(|a| a.0.saturating_sub(c.fully_sent_us));
         let second = seconds.entry((c.sent_us / 1_000_000) as usize);
         let class = classes.entry(c.class);
         for (ends, h) in [
@@ -205,7 +206,7 @@
         hosts: recording.head.hosts,
         length_s: recording.head.length_ms / 1e3,
         whole: recording.whole,
-        kept: report.kept(),
+        kept: report.passed(),
         rules: rules(&report),
         all,
         seconds: (0..last).map(by_second).collect(),
@@ -222,22 +223,22 @@
 }
 
 fn attempts(trace: &Trace, c: &Command) -> Vec<String> {
-    let of_it = trace.of_command.get(&(c.host, c.session, c.number));
+    let of_it = trace.attempts_by_command.get(&(c.host, c.session, c.cmd_sn));
     let words = |a: &pearfork_rulecheck::trace::Attempt| {
-        let after = a.came_us.saturating_sub(c.whole_us) as f64 / 1e3;
-        let end = match (a.answered, a.cut_us) {
+        let after = a.received_us.saturating_sub(c.fully_sent_us) as f64 / 1e3;
+        let end = match (a.response, a.aborted_us) {
             (Some((at, status)), _) => {
-                let took = at.saturating_sub(a.came_us) as f64 / 1e3;
+                let took = at.saturating_sub(a.received_us) as f64 / 1e3;
                 match status {
                     GOOD => format!("served in {took:.1} ms"),
                     s if REFUSES.contains(&s) => "turned away".to_owned(),
                     _ => format!("error after {took:.1} ms"),
                 }
             }
-            (None, Some(at)) => format!("cut after {:.1} ms", at.saturating_sub(a.came_us) as f64 / 1e3),
+            (None, Some(at)) => format!("cut after {:.1} ms", at.saturating_sub(a.received_us) as f64 / 1e3),
             (None, None) => "no answer".to_owned(),
         };
-        format!("part {} at node {} after {after:.1} ms: {end}", a.tag.part, a.node)
+        format!("part {} at node {} after {after:.1} ms: {end}", a.metadata.part, a.node)
     };
     of_it.into_iter().flatten().filter_map(|i| trace.attempts.get(*i)).map(words).collect()
 }
@@ -249,17 +250,17 @@
             || (NodeAccount { node: a.node, by_second: vec![0; seconds], ..Default::default() }, histogram());
         let (n, h) = nodes.entry(a.node).or_insert_with(new);
         n.attempts += 1;
-        n.further += u64::from(a.tag.attempt > 0);
-        match a.answered {
+        n.further += u64::from(a.metadata.attempt > 0);
+        match a.response {
             Some((at, GOOD)) => {
                 n.served += 1;
-                h.saturating_record(at.saturating_sub(a.came_us).max(1));
+                h.saturating_record(at.saturating_sub(a.received_us).max(1));
             }
-            Some(_) if a.never_ran() => n.turned_away += 1,
+            Some(_) if a.was_rejected() => n.turned_away += 1,
             Some(_) => n.checked += 1,
             None => n.unanswered += 1,
         }
-        if let Some(second) = n.by_second.get_mut((a.came_us / 1_000_000) as usize) {
+        if let Some(second) = n.by_second.get_mut((a.received_us / 1_000_000) as usize) {
             *second += 1;
         }
     }
--- a/crates/rulecheck/src/lib.rs
+++ b/crates/rulecheck/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod trace;
 pub mod wire;
 
-pub use record::{Figures, Note, Place, What};
+pub use record::{Endpoint, RuleParameters, TraceEvent, TraceEventKind};
 pub use rules::{check, check_trace, Finding, Report, Rule};
--- a/crates/rulecheck/src/record.rs
+++ b/crates/rulecheck/src/record.rs
@@ -1,13 +1,13 @@
 //! Notes, in the order of their times, and the figures that they are judged by.
 
-use crate::wire::{Header, Touch};
+use crate::wire::{Header, MediaAccess};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// Whose socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Place {
+pub enum Endpoint {
     /// A client's, connected to a host.
     Client {
         /// The host.
@@ -23,21 +23,23 @@
 /// One note.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Note {
+pub struct TraceEvent {
     /// Microseconds since the record began.
     pub at_us: u64,
     /// What.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: TraceEventKind,
 }
 
 /// What was noted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum TraceEventKind {
     /// A PDU passed a socket.
     Pdu {
         /// Whose socket.
-        place: Place,
+        #[serde(rename = "place")]
+        endpoint: Endpoint,
         /// Which connection, unique in the record.
         stream: u64,
         /// Sent by the owner of the socket.
@@ -51,7 +53,8 @@
         stream: u64,
     },
     /// The directory's answer to a host, as it went out, had this line.
-    Told {
+    #[serde(rename = "told")]
+    NodeListed {
         /// The host.
         host: u16,
         /// The node.
@@ -98,7 +101,7 @@
 
 /// Whether a repeat can do harm.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeats {
+pub enum Effect {
     /// May run any number of times.
     Safe,
     /// The nodes of a group drop a repeat for a time after the first send, milliseconds.
@@ -131,7 +134,7 @@
     /// How long its client waits, milliseconds.
     pub deadline_ms: f64,
     /// Whether a repeat can do harm.
-    pub repeats: Repeats,
+    pub effect: Effect,
     /// Whether requests on one extent run one at a time.
     pub ordered: bool,
 }
@@ -140,7 +143,7 @@
 #[derive(Clone, Debug)]
 pub struct Volume {
     /// Bytes in a block.
-    pub block: u64,
+    pub block_bytes: u64,
     /// Blocks in an extent.
     pub extent_blocks: u64,
     /// Units a second, units at once, slack; where it has a limit.
@@ -149,7 +152,7 @@
 
 /// Stated figures.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleParameters {
     /// Classes by position.
     pub classes: Vec<Class>,
     /// Which class a request gets: told by whoever knows the operator's rules.
@@ -169,9 +172,9 @@
     /// Units within that span that are always borne.
     pub cold_units: f64,
     /// Rest of an extent after an unclear end, milliseconds.
-    pub key_rest_ms: f64,
+    pub key_cooldown_ms: f64,
     /// Further attempts: free, ratio, span in milliseconds.
-    pub budget: Option<(f64, f64, f64)>,
+    pub retry_budget: Option<(f64, f64, f64)>,
     /// How much later than it happened a thing may be noted, milliseconds: threads that wait for a core.
     pub margin_ms: f64,
 }
@@ -181,7 +184,7 @@
 pub struct ClassOf(pub Arc<ClassOfFn>);
 
 /// See [`ClassOf`].
-pub type ClassOfFn = dyn Fn(u32, &Touch) -> Option<usize> + Send + Sync;
+pub type ClassOfFn = dyn Fn(u32, &MediaAccess) -> Option<usize> + Send + Sync;
 
 impl std::fmt::Debug for ClassOf {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
--- a/crates/rulecheck/src/wire.rs
+++ b/crates/rulecheck/src/wire.rs
@@ -2,7 +2,7 @@
 
 /// Opcodes that the checker looks at (RFC 7143, section 11.2.1.2).
 #[allow(missing_docs)]
-pub mod op {
+pub mod opcode {
     pub const COMMAND: u8 = 0x01;
     pub const TASK_MANAGEMENT: u8 = 0x02;
     pub const DATA_OUT: u8 = 0x05;
@@ -25,28 +25,28 @@
 
 impl Header {
     /// Opcode.
-    pub fn op(&self) -> u8 {
+    pub fn opcode(&self) -> u8 {
         self.bytes[0] & 0x3f
     }
 
     /// Whether the F bit is set.
-    pub fn is_last(&self) -> bool {
+    pub fn is_final(&self) -> bool {
         self.bytes[1] & 0x80 != 0
     }
 
     /// Initiator task tag.
     pub fn tag(&self) -> u32 {
-        self.word(16)
+        self.u32_at(16)
     }
 
     /// Four bytes as a number.
-    pub fn word(&self, at: usize) -> u32 {
+    pub fn u32_at(&self, at: usize) -> u32 {
         self.bytes[at..at + 4].iter().fold(0, |n, b| n << 8 | u32::from(*b))
     }
 
     /// Whether it ends a command: a response, or the last data with status.
     pub fn ends_command(&self) -> bool {
-        self.op() == op::RESPONSE || (self.op() == op::DATA_IN && self.bytes[1] & 1 != 0)
+        self.opcode() == opcode::RESPONSE || (self.opcode() == opcode::DATA_IN && self.bytes[1] & 1 != 0)
     }
 
     /// SCSI status of what ends a command.
@@ -84,12 +84,12 @@
 
 /// Cuts one direction of one stream.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct HeaderParser {
     held: Vec<u8>,
     skip: usize,
 }
 
-impl Cutter {
+impl HeaderParser {
     /// Takes bytes as they passed; calls back for each header that they complete.
     pub fn feed(&mut self, mut bytes: &[u8], mut each: impl FnMut(Header)) {
         while !bytes.is_empty() {
@@ -118,15 +118,15 @@
 
 /// What the project's extension says with a command toward a node: additional header type 62.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NodeTag {
+pub struct CommandMetadata {
     /// Host, session handle, number of the command, part of it; and the start of the host's process.
     pub host: u16,
     /// Start of the host's process, seconds.
-    pub boot: u32,
+    pub host_start_s: u32,
     /// Handle of the client's session.
     pub session: u16,
     /// Number of the client's command.
-    pub command: u32,
+    pub cmd_sn: u32,
     /// Part of the command.
     pub part: u16,
     /// Number of the attempt.
@@ -137,9 +137,9 @@
     pub milli_units: u32,
 }
 
-impl NodeTag {
+impl CommandMetadata {
     /// Found in what follows a header.
-    pub fn find(mut extra: &[u8]) -> Option<NodeTag> {
+    pub fn find(mut extra: &[u8]) -> Option<CommandMetadata> {
         while extra.len() >= 4 {
             let len = usize::from(extra[0]) << 8 | usize::from(extra[1]);
             let whole = (3 + len).div_ceil(4) * 4;
@@ -147,11 +147,11 @@
             if extra[2] >> 2 == 62 && body.len() == 24 {
                 let n =
                     |from: usize, to: usize| body[from..to].iter().fold(0u32, |n, b| n << 8 | u32::from(*b));
-                return Some(NodeTag {
+                return Some(CommandMetadata {
                     host: n(0, 2) as u16,
-                    boot: n(2, 6),
+                    host_start_s: n(2, 6),
                     session: n(6, 8) as u16,
-                    command: n(8, 12),
+                    cmd_sn: n(8, 12),
                     part: n(12, 14) as u16,
                     attempt: n(14, 16) as u16,
                     volume: n(16, 20),
@@ -166,7 +166,7 @@
 
 /// What a CDB does with the medium: operation, first block, blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Touch {
+pub struct MediaAccess {
     /// Operation.
     pub op: Op,
     /// First block.
@@ -188,7 +188,7 @@
 }
 
 /// Reads a CDB (SBC-3); `None` for what touches no medium.
-pub fn touch(cdb: &[u8]) -> Option<Touch> {
+pub fn parse_media_access(cdb: &[u8]) -> Option<MediaAccess> {
     let n = |from: usize, to: usize| cdb[from..to].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
     let op = match cdb[0] {
         0x08 | 0x28 | 0x88 | 0xa8 => Op::Read,
@@ -205,7 +205,7 @@
         0xa8 | 0xaa | 0xaf => (n(2, 6), n(6, 10)),
         _ => (n(2, 6), n(7, 9)),
     };
-    Some(Touch { op, lba, blocks })
+    Some(MediaAccess { op, lba, blocks })
 }
 
 #[cfg(test)]
@@ -217,15 +217,15 @@
         let mut stream = Vec::new();
         for (i, data) in [0usize, 5, 4096, 3].into_iter().enumerate() {
             let mut h = [0u8; 48];
-            (h[0], h[4], h[19]) = (op::COMMAND, (i % 3) as u8, i as u8);
+            (h[0], h[4], h[19]) = (opcode::COMMAND, (i % 3) as u8, i as u8);
             h[5..8].copy_from_slice(&(data as u32).to_be_bytes()[1..]);
             stream.extend_from_slice(&h);
             stream.extend(std::iter::repeat_n(7, (i % 3) * 4 + data.div_ceil(4) * 4));
         }
         for cut in [1, 2, 47, 48, 49, 1000, stream.len()] {
-            let (mut cutter, mut tags) = (Cutter::default(), Vec::new());
+            let (mut parser, mut tags) = (HeaderParser::default(), Vec::new());
             for piece in stream.chunks(cut) {
-                cutter.feed(piece, |h| tags.push((h.tag(), h.extra.len())));
+                parser.feed(piece, |h| tags.push((h.tag(), h.extra.len())));
             }
             assert_eq!(tags, [(0, 0), (1, 4), (2, 8), (3, 0)], "{cut}");
         }
--- a/crates/stand/src/client.rs
+++ b/crates/stand/src/client.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
 use pearfork_net::{lock, spawn_small, Connection, ConnectionEvent, TapRef, Token};
-use pearfork_rulecheck::Place;
+use pearfork_rulecheck::Endpoint;
 use pearfork_scsi::{lun_field, status, Media, MediaOp};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -17,7 +17,7 @@
 
 /// What a client does.
 #[derive(Clone, Debug)]
-pub struct ClientSpec {
+pub struct FakeClientSpec {
     /// Its name, and the seed of its draws.
     pub name: String,
     /// Seed.
@@ -29,32 +29,32 @@
     /// Unit number there.
     pub lun: u16,
     /// Bytes in a block.
-    pub block: u32,
+    pub block_bytes: u32,
     /// The blocks that are this client's alone: first, count.
     pub region: (u64, u64),
     /// Requests a second, drawn like a Poisson stream.
     pub rate: f64,
     /// Part of them that writes.
-    pub writes: f64,
+    pub write_fraction: f64,
     /// Part that compares and writes.
-    pub compares: f64,
+    pub compare_and_write_fraction: f64,
     /// Part that flushes.
-    pub flushes: f64,
+    pub flush_fraction: f64,
     /// Blocks of a small request, and of a large read.
-    pub small: u32,
+    pub small_blocks: u32,
     /// Blocks of a large read.
-    pub large: u32,
+    pub large_blocks: u32,
     /// Part of the reads that is large.
-    pub large_part: f64,
+    pub large_read_fraction: f64,
     /// Part of the requests that it aborts soon after sending.
-    pub aborts: f64,
+    pub abort_fraction: f64,
     /// How often a refused request comes again after the stated wait.
-    pub retries: u32,
+    pub max_retries: u32,
 }
 
 /// What became of its requests.
 #[derive(Clone, Debug)]
-pub struct ClientTally {
+pub struct FakeClientStats {
     /// Sent, tries after a refusal included.
     pub sent: u64,
     /// Answered with GOOD.
@@ -66,30 +66,30 @@
     /// Comparisons that did not hold, which is an answer too.
     pub miscompared: u64,
     /// Aborted or lost with a connection.
-    pub left: u64,
+    pub abandoned: u64,
     /// Not sent, because the session's window was closed or the session gone.
-    pub held_back: u64,
+    pub not_sent: u64,
     /// Blocks read that were neither the last one acknowledged nor one whose fate was unknown, in words.
     pub stale: Vec<String>,
     /// Blocks proved.
-    pub proved: u64,
+    pub verified_blocks: u64,
     /// Times of served requests, microseconds.
-    pub times: Histogram<u64>,
+    pub latency_us: Histogram<u64>,
 }
 
-impl Default for ClientTally {
+impl Default for FakeClientStats {
     fn default() -> Self {
-        ClientTally {
+        FakeClientStats {
             sent: 0,
             served: 0,
             refused: 0,
             failed: 0,
             miscompared: 0,
-            left: 0,
-            held_back: 0,
+            abandoned: 0,
+            not_sent: 0,
             stale: Vec::new(),
-            proved: 0,
-            times: Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"),
+            verified_blocks: 0,
+            latency_us: Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"),
         }
     }
 }
@@ -117,13 +117,13 @@
 #[derive(Default)]
 struct State {
     blocks: HashMap<u64, Block>,
-    tally: ClientTally,
+    stats: FakeClientStats,
     /// Refused requests and when they may come again.
     again: Vec<(Instant, Ask)>,
 }
 
 struct Inner {
-    spec: ClientSpec,
+    spec: FakeClientSpec,
     recorder: Recorder,
     state: Mutex<State>,
     connection: Mutex<Option<Arc<Connection<Ask>>>>,
@@ -134,17 +134,17 @@
 }
 
 /// A running client.
-pub struct Client {
+pub struct FakeClient {
     inner: Arc<Inner>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Client {
+impl FakeClient {
     /// Begins to offer load.
     ///
     /// # Errors
     /// No thread could be had.
-    pub fn start(spec: ClientSpec, recorder: Recorder) -> io::Result<Client> {
+    pub fn start(spec: FakeClientSpec, recorder: Recorder) -> io::Result<FakeClient> {
         let inner = Arc::new(Inner {
             spec,
             recorder,
@@ -156,28 +156,28 @@
         });
         let running = inner.clone();
         let thread = spawn_small("client", move || running.run())?;
-        Ok(Client { inner, thread: Some(thread) })
+        Ok(FakeClient { inner, thread: Some(thread) })
     }
 
     /// Offers so many times its rate from now on.
-    pub fn surge(&self, times: f64) {
+    pub fn set_rate_multiplier(&self, times: f64) {
         self.inner.surge.store((times.max(0.0) * 1_000.0) as u64, Ordering::SeqCst);
     }
 
     /// Drops its connection with whatever is under way, and logs in again.
-    pub fn leave(&self) {
+    pub fn reconnect(&self) {
         if let Some(c) = &*lock(&self.inner.connection) {
             c.close();
         }
     }
 
     /// So far.
-    pub fn tally(&self) -> ClientTally {
-        lock(&self.inner.state).tally.clone()
+    pub fn stats(&self) -> FakeClientStats {
+        lock(&self.inner.state).stats.clone()
     }
 
     /// Sends nothing more, waits for what is out, `within` at the most, and logs out.
-    pub fn finish(mut self, within: Duration) -> ClientTally {
+    pub fn finish(mut self, within: Duration) -> FakeClientStats {
         self.inner.stopped.store(true, Ordering::SeqCst);
         if let Some(t) = self.thread.take() {
             let _ = t.join();
@@ -192,11 +192,11 @@
             std::thread::sleep(Duration::from_millis(20));
             c.close();
         }
-        self.tally()
+        self.stats()
     }
 }
 
-impl Drop for Client {
+impl Drop for FakeClient {
     fn drop(&mut self) {
         self.inner.stopped.store(true, Ordering::SeqCst);
         if let Some(c) = &*lock(&self.inner.connection) {
@@ -237,7 +237,7 @@
                 }
                 if let Some(ask) = self.draw_ask(&mut draws) {
                     self.send(&connection, ask);
-                    if draw(&mut draws) < self.spec.aborts {
+                    if draw(&mut draws) < self.spec.abort_fraction {
                         connection.abort(|a: &Ask| a.stamp == self.stamp.load(Ordering::SeqCst) - 1);
                     }
                 }
@@ -261,7 +261,7 @@
             digests: false,
             extension: false,
         };
-        let tap = self.recorder.tap(Place::Client { host: spec.host.0 }, |_, _, _| {});
+        let tap = self.recorder.tap(Endpoint::Client { host: spec.host.0 }, |_, _, _| {});
         let own = self.clone();
         let events = move |event| own.on_event(event);
         let opened = Connection::open(
@@ -278,16 +278,16 @@
     fn draw_ask(&self, draws: &mut Pcg64Mcg) -> Option<Ask> {
         let spec = &self.spec;
         let kind = draw(draws);
-        let (op, blocks) = if kind < spec.writes {
-            (MediaOp::Write, spec.small)
-        } else if kind < spec.writes + spec.compares {
+        let (op, blocks) = if kind < spec.write_fraction {
+            (MediaOp::Write, spec.small_blocks)
+        } else if kind < spec.write_fraction + spec.compare_and_write_fraction {
             (MediaOp::CompareAndWrite, 1)
-        } else if kind < spec.writes + spec.compares + spec.flushes {
-            (MediaOp::Flush, spec.small)
-        } else if draw(draws) < spec.large_part {
-            (MediaOp::Read, spec.large)
+        } else if kind < spec.write_fraction + spec.compare_and_write_fraction + spec.flush_fraction {
+            (MediaOp::Flush, spec.small_blocks)
+        } else if draw(draws) < spec.large_read_fraction {
+            (MediaOp::Read, spec.large_blocks)
         } else {
-            (MediaOp::Read, spec.small)
+            (MediaOp::Read, spec.small_blocks)
         };
         let blocks = blocks.min(spec.region.1 as u32);
         // Three of four requests go to an eighth of the region, each client's at a place of its own. Danger: were it the first
@@ -305,11 +305,11 @@
         (lba..lba + u64::from(blocks)).for_each(|b| state.blocks.entry(b).or_default().busy = true);
         let stamp = self.stamp.fetch_add(1, Ordering::SeqCst);
         let media = Media { op, lba, blocks, fua: false, group: 0 };
-        Some(Ask { media, stamp, began: Instant::now(), tries_left: spec.retries })
+        Some(Ask { media, stamp, began: Instant::now(), tries_left: spec.max_retries })
     }
 
     fn stamped(&self, lba: u64, stamp: u64) -> Vec<u8> {
-        let mut block = vec![0; self.spec.block as usize];
+        let mut block = vec![0; self.spec.block_bytes as usize];
         if stamp > 0 {
             block[..8].copy_from_slice(&stamp.to_be_bytes());
             block[8..16].copy_from_slice(&lba.to_be_bytes());
@@ -334,15 +334,15 @@
         let command = Command {
             lun: lun_field(self.spec.lun),
             cdb: m.to_cdb(),
-            read_len: m.data_in(self.spec.block) as u32,
+            read_len: m.data_in(self.spec.block_bytes) as u32,
             data,
             ext: None,
         };
-        lock(&self.state).tally.sent += 1;
+        lock(&self.state).stats.sent += 1;
         if let Err(ask) = connection.submit(ask, command) {
             let mut state = lock(&self.state);
-            state.tally.sent -= 1;
-            state.tally.held_back += 1;
+            state.stats.sent -= 1;
+            state.stats.not_sent += 1;
             state.release(&ask.media);
         }
     }
@@ -355,8 +355,8 @@
             ConnectionEvent::Closed(_, sent, unsent) => {
                 let mut state = lock(&self.state);
                 sent.iter().for_each(|a| state.lost(a));
-                state.tally.held_back += unsent.len() as u64;
-                state.tally.sent -= unsent.len() as u64;
+                state.stats.not_sent += unsent.len() as u64;
+                state.stats.sent -= unsent.len() as u64;
                 unsent.iter().for_each(|a| state.release(&a.media));
             }
         }
@@ -366,9 +366,9 @@
         let mut state = lock(&self.state);
         match done.status {
             status::GOOD => {
-                state.tally.served += 1;
+                state.stats.served += 1;
                 let us = ask.began.elapsed().as_micros() as u64;
-                state.tally.times.saturating_record(us.max(1));
+                state.stats.latency_us.saturating_record(us.max(1));
                 match ask.media.op {
                     MediaOp::Write | MediaOp::CompareAndWrite => state.written(&ask),
                     MediaOp::Read => self.prove(&mut state, &ask, &done.data.to_bytes()),
@@ -377,7 +377,7 @@
                 state.release(&ask.media);
             }
             status::BUSY | status::TASK_SET_FULL => {
-                state.tally.refused += 1;
+                state.stats.refused += 1;
                 if ask.tries_left > 0 && !self.stopped.load(Ordering::SeqCst) {
                     ask.tries_left -= 1;
                     let wait = Duration::from_millis(100 * u64::from(done.qualifier.max(1)));
@@ -389,11 +389,11 @@
             _ if ask.media.op == MediaOp::CompareAndWrite
                 && pearfork_scsi::Sense::key_and_code(&done.sense).is_some_and(|(k, _)| k == 0x0e) =>
             {
-                state.tally.miscompared += 1;
+                state.stats.miscompared += 1;
                 state.release(&ask.media);
             }
             _ => {
-                state.tally.failed += 1;
+                state.stats.failed += 1;
                 state.unsure(&ask);
                 state.release(&ask.media);
             }
@@ -402,17 +402,17 @@
 
     /// Each block must hold the stamp last acknowledged, or one whose fate was never told.
     fn prove(&self, state: &mut State, ask: &Ask, data: &[u8]) {
-        for (i, got) in data.chunks_exact(self.spec.block as usize).enumerate() {
+        for (i, got) in data.chunks_exact(self.spec.block_bytes as usize).enumerate() {
             let lba = ask.media.lba + i as u64;
             let known = state.blocks.get(&lba).cloned().unwrap_or_default();
             let stamp = got.iter().take(8).fold(0u64, |n, b| n << 8 | u64::from(*b));
             let right = stamp == known.acknowledged || known.unknown.contains(&stamp);
             if right && got == self.stamped(lba, stamp) {
-                state.tally.proved += 1;
-            } else if state.tally.stale.len() < 20 {
+                state.stats.verified_blocks += 1;
+            } else if state.stats.stale.len() < 20 {
                 let words =
                     format!("block {lba} holds stamp {stamp}, last acknowledged {}", known.acknowledged);
-                state.tally.stale.push(words);
+                state.stats.stale.push(words);
             }
         }
     }
@@ -440,7 +440,7 @@
     }
 
     fn lost(&mut self, ask: &Ask) {
-        self.tally.left += 1;
+        self.stats.abandoned += 1;
         self.unsure(ask);
         self.release(&ask.media);
     }
--- a/crates/stand/src/directory.rs
+++ b/crates/stand/src/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::recorder::Recorder;
 use pearfork_net::http::{query, Answer, Server};
-use pearfork_rulecheck::What;
+use pearfork_rulecheck::TraceEventKind;
 use serde_json::json;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -29,22 +29,22 @@
 }
 
 /// The directory.
-pub struct Directory {
+pub struct FakeDirectory {
     inner: Arc<Inner>,
     server: Server,
 }
 
-impl Directory {
+impl FakeDirectory {
     /// Begins to answer at an address of loopback.
     ///
     /// # Errors
     /// The address or a thread could not be had.
-    pub fn start(address: SocketAddr, recorder: Recorder) -> io::Result<Directory> {
+    pub fn start(address: SocketAddr, recorder: Recorder) -> io::Result<FakeDirectory> {
         let inner = Arc::new(Inner::default());
         let answering = inner.clone();
         let server =
             Server::start(TcpListener::bind(address)?, move |path| answering.answer(path, &recorder))?;
-        Ok(Directory { inner, server })
+        Ok(FakeDirectory { inner, server })
     }
 
     /// Where it answers.
@@ -116,7 +116,12 @@
         if let Some(host) = number("host") {
             for l in &told {
                 let (ready, started_ms) = (l.state == "ready", l.started_ms);
-                recorder.note(What::Told { host: host as u16, node: l.node, ready, started_ms });
+                recorder.record(TraceEventKind::NodeListed {
+                    host: host as u16,
+                    node: l.node,
+                    ready,
+                    started_ms,
+                });
             }
         }
         let body = json!({"revision": lines.len(), "full": full, "nodes": nodes});
--- a/crates/stand/src/lib.rs
+++ b/crates/stand/src/lib.rs
@@ -2,15 +2,15 @@
 //! loopback, all scripted, each noting the bytes of its sockets for [`pearfork_rulecheck`].
 
 mod client;
+mod cluster;
 mod directory;
-mod fleet;
 mod node;
 mod recorder;
 mod store;
 
-pub use client::{Client, ClientSpec, ClientTally};
-pub use directory::Directory;
-pub use fleet::{Fleet, FleetSpec};
-pub use node::{Fault, Node, NodeSpec};
+pub use client::{FakeClient, FakeClientSpec, FakeClientStats};
+pub use cluster::{FakeCluster, FakeClusterSpec};
+pub use directory::FakeDirectory;
+pub use node::{FakeNode, FakeNodeSpec, NodeFault};
 pub use recorder::Recorder;
 pub use store::{Rack, ShardStore};
--- a/crates/stand/src/node.rs
+++ b/crates/stand/src/node.rs
@@ -5,8 +5,8 @@
 use pearfork_iscsi::ext::{RepeatKey, Report};
 use pearfork_iscsi::{Access, Limits, LoginStatus, Payload, Response, ScsiCommand, TaskTag};
 use pearfork_net::{lock, spawn_small, Portal, PortalConfig, Service, Session, SessionId};
-use pearfork_rulecheck::wire::op;
-use pearfork_rulecheck::{Place, What};
+use pearfork_rulecheck::wire::opcode;
+use pearfork_rulecheck::{Endpoint, TraceEventKind};
 use pearfork_scsi::{status, unit_of, Cdb, Media, MediaOp, Sense};
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -17,7 +17,7 @@
 
 /// What a node is like.
 #[derive(Clone, Debug)]
-pub struct NodeSpec {
+pub struct FakeNodeSpec {
     /// Its id, the same after a restart.
     pub id: u32,
     /// The shard that it holds.
@@ -27,11 +27,11 @@
     /// Cores; each works on one request at a time.
     pub cores: u16,
     /// Requests that wait at the most.
-    pub waiting: u16,
+    pub queue_capacity: u16,
     /// Work of one unit on one warm core.
-    pub work: Duration,
+    pub unit_work: Duration,
     /// Part of a write's work that is put off.
-    pub deferred: f64,
+    pub deferred_fraction: f64,
     /// How often what was put off is done in one go.
     pub flush_every: Duration,
     /// Part of its capacity with which it starts.
@@ -46,16 +46,16 @@
     pub cold_units: f64,
 }
 
-impl Default for NodeSpec {
+impl Default for FakeNodeSpec {
     fn default() -> Self {
-        NodeSpec {
+        FakeNodeSpec {
             id: 1,
             shard: 0,
             zone: 0,
             cores: 2,
-            waiting: 64,
-            work: Duration::from_micros(400),
-            deferred: 0.3,
+            queue_capacity: 64,
+            unit_work: Duration::from_micros(400),
+            deferred_fraction: 0.3,
             flush_every: Duration::from_millis(1_500),
             cold_from: 0.2,
             warm_after: Duration::from_secs(10),
@@ -68,7 +68,7 @@
 
 /// A trouble that a script switches.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum NodeFault {
     /// Takes work and answers nothing, or does so no longer.
     Hang(bool),
     /// Works so many times slower; 1 as usual.
@@ -80,15 +80,15 @@
     /// Closes its listener; connections stay.
     RefuseConnections,
     /// Turns all new work away as full.
-    TurnAway(bool),
+    RejectRequests(bool),
     /// Forgets to drop repeats.
-    ForgetRepeats(bool),
+    ForgetKeys(bool),
     /// Acknowledges writes and keeps none: a fault that only who proves what he reads can find.
     LoseWrites(bool),
     /// Stands still for a while: nothing moves, then all goes on.
-    StandStill(Duration),
+    Pause(Duration),
     /// Asks its peers to leave, as a node that drains does.
-    AskLogout,
+    RequestLogout,
 }
 
 struct Job {
@@ -129,7 +129,7 @@
 
 /// One process of a node, from its start to its end.
 struct Life {
-    spec: NodeSpec,
+    spec: FakeNodeSpec,
     recorder: Recorder,
     store: Arc<ShardStore>,
     rack: Arc<Rack>,
@@ -142,8 +142,8 @@
 }
 
 /// A stand-in node.
-pub struct Node {
-    spec: NodeSpec,
+pub struct FakeNode {
+    spec: FakeNodeSpec,
     recorder: Recorder,
     store: Arc<ShardStore>,
     rack: Arc<Rack>,
@@ -166,24 +166,24 @@
     }
 }
 
-impl Node {
+impl FakeNode {
     /// A node that has been up for long. Its blocks are its shard's, its memory of keys its rack's.
     ///
     /// # Errors
     /// No address or thread could be had.
     pub fn start(
-        spec: NodeSpec,
+        spec: FakeNodeSpec,
         store: Arc<ShardStore>,
         rack: Arc<Rack>,
         recorder: Recorder,
-    ) -> io::Result<Node> {
-        let node = Node { spec, recorder, store, rack, life: Mutex::new(None) };
+    ) -> io::Result<FakeNode> {
+        let node = FakeNode { spec, recorder, store, rack, life: Mutex::new(None) };
         node.begin(false)?;
         Ok(node)
     }
 
     /// What it is like.
-    pub fn spec(&self) -> &NodeSpec {
+    pub fn spec(&self) -> &FakeNodeSpec {
         &self.spec
     }
 
@@ -197,37 +197,37 @@
     /// # Errors
     /// No address or thread could be had.
     pub fn restart(&self) -> io::Result<()> {
-        self.die();
+        self.kill();
         self.begin(true)
     }
 
     /// The process is gone: connections drop, what waited is lost.
-    pub fn die(&self) {
+    pub fn kill(&self) {
         if let Some((life, ..)) = lock(&self.life).take() {
             life.end();
         }
     }
 
     /// Whether it fell over.
-    pub fn has_fallen(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         lock(&self.life).as_ref().is_some_and(|(life, ..)| life.switches.stopped.load(Ordering::SeqCst))
     }
 
     /// Switches a fault.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: NodeFault) {
         let Some((life, ..)) = lock(&self.life).as_ref().map(|(l, a, s)| (l.clone(), *a, *s)) else { return };
         let s = &life.switches;
         match fault {
-            Fault::Hang(on) => s.hung.store(on, Ordering::SeqCst),
-            Fault::Slow(times) => s.slow.store((times * 1_000.0) as u32, Ordering::SeqCst),
-            Fault::TurnAway(on) => s.turns_away.store(on, Ordering::SeqCst),
-            Fault::ForgetRepeats(on) => s.forgets.store(on, Ordering::SeqCst),
-            Fault::LoseWrites(on) => s.loses_writes.store(on, Ordering::SeqCst),
-            Fault::ResetAtR2t(on) => s.resets_at_r2t.store(on, Ordering::SeqCst),
-            Fault::StandStill(span) => *lock(&s.still_until) = Some(Instant::now() + span),
-            Fault::Reset => life.sessions().iter().for_each(|s| s.close()),
-            Fault::AskLogout => life.sessions().iter().for_each(|s| s.request_logout(2)),
-            Fault::RefuseConnections => {
+            NodeFault::Hang(on) => s.hung.store(on, Ordering::SeqCst),
+            NodeFault::Slow(times) => s.slow.store((times * 1_000.0) as u32, Ordering::SeqCst),
+            NodeFault::RejectRequests(on) => s.turns_away.store(on, Ordering::SeqCst),
+            NodeFault::ForgetKeys(on) => s.forgets.store(on, Ordering::SeqCst),
+            NodeFault::LoseWrites(on) => s.loses_writes.store(on, Ordering::SeqCst),
+            NodeFault::ResetAtR2t(on) => s.resets_at_r2t.store(on, Ordering::SeqCst),
+            NodeFault::Pause(span) => *lock(&s.still_until) = Some(Instant::now() + span),
+            NodeFault::Reset => life.sessions().iter().for_each(|s| s.close()),
+            NodeFault::RequestLogout => life.sessions().iter().for_each(|s| s.request_logout(2)),
+            NodeFault::RefuseConnections => {
                 if let Some(p) = &*lock(&life.portal) {
                     p.stop_accepting();
                 }
@@ -257,17 +257,17 @@
         } else {
             0.0
         };
-        self.recorder.note(What::NodeStarted {
+        self.recorder.record(TraceEventKind::NodeStarted {
             node: self.spec.id,
             shard: self.spec.shard,
             zone: self.spec.zone,
             cold,
-            units_per_s: f64::from(self.spec.cores) / self.spec.work.as_secs_f64(),
+            units_per_s: f64::from(self.spec.cores) / self.spec.unit_work.as_secs_f64(),
         });
         let watched = Arc::downgrade(&life);
-        let tap = self.recorder.tap(Place::Node { node: self.spec.id }, move |stream, sent, header| {
+        let tap = self.recorder.tap(Endpoint::Node { node: self.spec.id }, move |stream, sent, header| {
             let Some(life) = watched.upgrade() else { return };
-            if sent && header.op() == op::R2T && life.switches.resets_at_r2t.load(Ordering::SeqCst) {
+            if sent && header.opcode() == opcode::R2T && life.switches.resets_at_r2t.load(Ordering::SeqCst) {
                 let session = life.sessions().into_iter().find(|s| s.id() == SessionId(stream));
                 session.iter().for_each(|s| s.close());
             }
@@ -291,9 +291,9 @@
     }
 }
 
-impl Drop for Node {
+impl Drop for FakeNode {
     fn drop(&mut self) {
-        self.die();
+        self.kill();
     }
 }
 
@@ -331,7 +331,7 @@
             q.came.pop_front();
         }
         let sent: f64 = q.came.iter().map(|c| c.1).sum();
-        let warm_rate = f64::from(self.spec.cores) / self.spec.work.as_secs_f64();
+        let warm_rate = f64::from(self.spec.cores) / self.spec.unit_work.as_secs_f64();
         let bears = self.spec.fall_multiple * self.warmth() * warm_rate * self.spec.fall.as_secs_f64();
         sent > bears.max(self.spec.cold_units)
     }
@@ -375,9 +375,12 @@
                 continue;
             };
             let began = Instant::now();
-            let whole = self.spec.work.mul_f64(job.units);
-            let put_off =
-                if job.media.is_write() { whole.mul_f64(self.spec.deferred) } else { Duration::ZERO };
+            let whole = self.spec.unit_work.mul_f64(job.units);
+            let put_off = if job.media.is_write() {
+                whole.mul_f64(self.spec.deferred_fraction)
+            } else {
+                Duration::ZERO
+            };
             self.spend(whole - put_off);
             self.finish(job, began, put_off);
         }
@@ -448,7 +451,7 @@
             if drops && job.media.op == MediaOp::Write && !self.rack.admits(key) {
                 return Ok(Payload::new());
             }
-            self.recorder.note(What::Applied {
+            self.recorder.record(TraceEventKind::Applied {
                 node: self.spec.id,
                 key: (key.host, key.boot, key.session, key.command, key.part),
             });
@@ -487,8 +490,8 @@
             life.end();
             return;
         }
-        let full =
-            q.jobs.len() >= usize::from(life.spec.waiting) || life.switches.turns_away.load(Ordering::SeqCst);
+        let full = q.jobs.len() >= usize::from(life.spec.queue_capacity)
+            || life.switches.turns_away.load(Ordering::SeqCst);
         if full {
             let host = command.ext.map(|t| t.key.host);
             let report = Some(life.report(&mut q, volume, host));
--- a/crates/stand/src/recorder.rs
+++ b/crates/stand/src/recorder.rs
@@ -1,16 +1,16 @@
 //! The record of a run: bytes of sockets cut to headers as they pass, and what stand-ins know of themselves.
 
 use pearfork_net::{Direction, Tap};
-use pearfork_rulecheck::wire::{Cutter, Header};
-use pearfork_rulecheck::{Note, Place, What};
+use pearfork_rulecheck::wire::{Header, HeaderParser};
+use pearfork_rulecheck::{Endpoint, TraceEvent, TraceEventKind};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
 #[derive(Default)]
 struct Inner {
-    notes: Vec<Note>,
-    cutters: HashMap<(u64, bool), Cutter>,
+    events: Vec<TraceEvent>,
+    parsers: HashMap<(u64, bool), HeaderParser>,
     next_stream: u64,
 }
 
@@ -30,7 +30,7 @@
 
 impl Recorder {
     /// One that keeps nothing, for stand-ins that run without end.
-    pub fn off() -> Recorder {
+    pub fn disabled() -> Recorder {
         Recorder { on: false, ..Default::default() }
     }
 
@@ -44,18 +44,18 @@
     }
 
     /// Notes a thing now.
-    pub fn note(&self, what: What) {
+    pub fn record(&self, kind: TraceEventKind) {
         if self.on {
             let mut inner = self.lock();
             let at_us = self.began.elapsed().as_micros() as u64;
-            inner.notes.push(Note { at_us, what });
+            inner.events.push(TraceEvent { at_us, kind });
         }
     }
 
     /// A tap for the sockets of a place. `watch` sees each header after it was noted.
     pub fn tap(
         &self,
-        place: Place,
+        place: Endpoint,
         watch: impl Fn(u64, bool, &Header) + Send + Sync + 'static,
     ) -> Option<Arc<dyn Tap>> {
         let (recorder, watch): (_, Watch) = (self.clone(), Box::new(watch));
@@ -64,8 +64,8 @@
     }
 
     /// All notes so far.
-    pub fn notes(&self) -> Vec<Note> {
-        self.lock().notes.clone()
+    pub fn events(&self) -> Vec<TraceEvent> {
+        self.lock().events.clone()
     }
 }
 
@@ -73,7 +73,7 @@
 
 struct PlaceTap {
     recorder: Recorder,
-    place: Place,
+    place: Endpoint,
     /// The owner's numbers of streams, to those of the record.
     streams: Mutex<HashMap<u64, u64>>,
     watch: Watch,
@@ -98,12 +98,12 @@
         {
             let mut inner = self.recorder.lock();
             let at_us = self.recorder.began.elapsed().as_micros() as u64;
-            let mut cutter = inner.cutters.remove(&(stream, sent)).unwrap_or_default();
-            cutter.feed(bytes, |header| headers.push(header));
-            inner.cutters.insert((stream, sent), cutter);
+            let mut parser = inner.parsers.remove(&(stream, sent)).unwrap_or_default();
+            parser.feed(bytes, |header| headers.push(header));
+            inner.parsers.insert((stream, sent), parser);
             for header in &headers {
-                let what = What::Pdu { place: self.place, stream, sent, header: header.clone() };
-                inner.notes.push(Note { at_us, what });
+                let kind = TraceEventKind::Pdu { endpoint: self.place, stream, sent, header: header.clone() };
+                inner.events.push(TraceEvent { at_us, kind });
             }
         }
         headers.iter().for_each(|h| (self.watch)(own, sent, h));
@@ -113,7 +113,7 @@
         let stream = self.stream(own);
         let mut inner = self.recorder.lock();
         let at_us = self.recorder.began.elapsed().as_micros() as u64;
-        inner.cutters.retain(|(s, _), _| *s != stream);
-        inner.notes.push(Note { at_us, what: What::Closed { stream } });
+        inner.parsers.retain(|(s, _), _| *s != stream);
+        inner.events.push(TraceEvent { at_us, kind: TraceEventKind::Closed { stream } });
     }
 }
--- a/crates/trial/src/draw.rs
+++ b/crates/trial/src/draw.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Draws troubles for a day of so many hosts, the first of which vote.
-pub fn draw(seed: u64, hosts: u16, voters: u16, length: Span, troubles: usize) -> Vec<EventTable> {
+pub fn draw_schedule(seed: u64, hosts: u16, voters: u16, length: Span, troubles: usize) -> Vec<EventTable> {
     use EventKind as K;
     const KINDS: [EventKind; 12] = [
         K::HostKill,
@@ -66,7 +66,10 @@
 }
 
 /// Leaves troubles out, one after the other, while what is left still breaks something.
-pub fn shrink(events: Vec<EventTable>, mut breaks: impl FnMut(&[EventTable]) -> bool) -> Vec<EventTable> {
+pub fn shrink_schedule(
+    events: Vec<EventTable>,
+    mut breaks: impl FnMut(&[EventTable]) -> bool,
+) -> Vec<EventTable> {
     let mut left = events;
     let mut at = 0;
     while at < left.len() {
@@ -88,15 +91,15 @@
     #[test]
     fn a_seed_draws_the_same_troubles_and_shrinking_keeps_what_breaks() {
         let length = Span::from_ms(12_000.0);
-        let one = draw(5, 7, 3, length, 12);
+        let one = draw_schedule(5, 7, 3, length, 12);
         let words = |e: &[EventTable]| format!("{e:?}");
-        assert_eq!(words(&one), words(&draw(5, 7, 3, length, 12)));
-        assert_ne!(words(&one), words(&draw(6, 7, 3, length, 12)));
+        assert_eq!(words(&one), words(&draw_schedule(5, 7, 3, length, 12)));
+        assert_ne!(words(&one), words(&draw_schedule(6, 7, 3, length, 12)));
         assert!(one.len() > 6);
         assert!(one.iter().all(|e| e.at.ms() + e.lasts.unwrap_or_default().ms() <= 10_100.0));
         let (first, last) = (one[1].at, one[5].at);
         let has = |e: &[EventTable], at: Span| e.iter().any(|e| e.at == at);
-        let least = shrink(one, |e| has(e, first) && has(e, last));
+        let least = shrink_schedule(one, |e| has(e, first) && has(e, last));
         assert_eq!(least.len(), 2);
     }
 }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -8,5 +8,5 @@
 mod processes;
 pub mod relay;
 
-pub use draw::{draw, shrink};
-pub use processes::{Processes, Program};
+pub use draw::{draw_schedule, shrink_schedule};
+pub use processes::{HostProcesses, ProcessConfig};
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -6,7 +6,7 @@
 use pearfork_day::summary::Summary;
 use pearfork_day::{asked, play};
 use pearfork_host::settings::HostSettings;
-use pearfork_trial::{draw, shrink, Processes, Program};
+use pearfork_trial::{draw_schedule, shrink_schedule, HostProcesses, ProcessConfig};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -116,13 +116,13 @@
             let mut end = Exit::Fine;
             for seed in *seed..seed.saturating_add(*plays) {
                 script.day.seed = seed;
-                script.event = draw(seed, script.day.hosts, voters, script.day.length, *troubles);
+                script.event = draw_schedule(seed, script.day.hosts, voters, script.day.length, *troubles);
                 if one(&a, &format!("seed {seed}"), &script, &plan, settings, false)? {
                     continue;
                 }
                 end = Exit::No;
                 let mut smaller = script.clone();
-                let least = shrink(script.event.clone(), |events| {
+                let least = shrink_schedule(script.event.clone(), |events| {
                     smaller.event = events.to_vec();
                     // One that holds once may break the next time: it is left out only where it breaks without.
                     one(&a, "smaller", &smaller, &plan, settings, false).is_ok_and(|right| !right)
@@ -152,7 +152,7 @@
         let (host, rate) = parsed.ok_or_else(|| format!("--clock {c}: say HOST=RATE, as 2=1.2"))?;
         clocks.insert(host, rate);
     }
-    let program = Program {
+    let program = ProcessConfig {
         gateway: a.gateway.clone().unwrap_or(beside),
         settings: settings.to_owned(),
         folder: a.keep.clone().unwrap_or_else(|| scratch.path().to_owned()),
@@ -164,7 +164,7 @@
             output.put(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
         }
     };
-    let mut crew = Processes::new(program);
+    let mut crew = HostProcesses::new(program);
     if loud {
         crew.tell(move |host, at| {
             let words = format!("host {host}: http://{at}/fleet");
--- a/crates/trial/src/processes.rs
+++ b/crates/trial/src/processes.rs
@@ -18,7 +18,7 @@
 
 /// How hosts are started.
 #[derive(Clone, Debug)]
-pub struct Program {
+pub struct ProcessConfig {
     /// `pearfork-gateway`.
     pub gateway: PathBuf,
     /// Settings that all hosts have alike, with a `[fleet]` where they are to be in one: its voters are the first hosts,
@@ -42,8 +42,8 @@
 }
 
 /// Runs the hosts of a day as processes.
-pub struct Processes {
-    program: Program,
+pub struct HostProcesses {
+    program: ProcessConfig,
     hosts: Vec<HostProcess>,
     /// From a host to a voter.
     relays: BTreeMap<(u16, u16), Relay>,
@@ -63,11 +63,11 @@
     DayError::Unfit(words.into())
 }
 
-impl Processes {
+impl HostProcesses {
     /// A crew that has started nothing yet.
-    pub fn new(program: Program) -> Processes {
+    pub fn new(program: ProcessConfig) -> HostProcesses {
         let (hosts, relays, classes) = (Vec::new(), BTreeMap::new(), Vec::new());
-        Processes { program, hosts, relays, voters: 0, classes, told: Box::new(|_, _| {}) }
+        HostProcesses { program, hosts, relays, voters: 0, classes, told: Box::new(|_, _| {}) }
     }
 
     /// Whom to tell of each host that is ready, and where its HTTP is.
@@ -211,7 +211,7 @@
     }
 }
 
-impl Crew for Processes {
+impl Crew for HostProcesses {
     fn start(
         &mut self,
         day: &Day,
@@ -382,7 +382,7 @@
     }
 }
 
-impl Drop for Processes {
+impl Drop for HostProcesses {
     fn drop(&mut self) {
         for h in &mut self.hosts {
             if let Some(mut child) = h.child.take() {
