--- a/crates/gateway/benches/harness/mod.rs
+++ b/crates/gateway/benches/harness/mod.rs
@@ -6,7 +6,7 @@
 use pearfork_iscsi::{Command, InitiatorConfig, Payload};
 use pearfork_net::{CommandToken, Connection, ConnectionEvent, StreamTap};
 use pearfork_scsi::{MediaCommand, MediaOp};
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::channel;
@@ -201,10 +201,17 @@
 }
 
 /// Starts a node that spends 1 ns on a command, and its directory, to measure the gateway's own cost.
-pub fn start_instant_node() -> Fleet {
+pub fn start_instant_node() -> FakeCluster {
     let host_settings = HostSettings::from_toml(&settings(([127, 0, 0, 1], 9).into())).expect("settings");
     let work = Duration::from_nanos(1);
-    let spec = FleetSpec { count: 1, racks: 1, waiting: 1000, work, ..FleetSpec::default() };
+    let spec = FakeClusterSpec {
+        node_count: 1,
+        racks: 1,
+        queue_capacity: 1000,
+        unit_work: work,
+        ..FakeClusterSpec::default()
+    };
     let any_port = ([127, 0, 0, 1], 0).into();
-    Fleet::start(&spec, &host_settings.scheduler, any_port, Duration::ZERO, &Recorder::off()).expect("a node")
+    FakeCluster::start(&spec, &host_settings.scheduler, any_port, Duration::ZERO, &Recorder::disabled())
+        .expect("a node")
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -9,7 +9,7 @@
 use pearfork_cli::{Common, Exit, Output, SettingsArguments};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use serde::Serialize;
 use signal_hook::consts::{SIGHUP, SIGINT};
 use std::net::SocketAddr;
@@ -106,22 +106,28 @@
 }
 
 /// Starts the nodes of the `embedded` table, if the settings have one.
-fn start_embedded_nodes(host_settings: &HostSettings) -> Result<Option<Fleet>, String> {
+fn start_embedded_nodes(host_settings: &HostSettings) -> Result<Option<FakeCluster>, String> {
     let Some(embedded) = &host_settings.embedded else { return Ok(None) };
     let longest_window_ms = host_settings.scheduler.classes.iter().map(|c| c.window_ms).fold(0.0, f64::max);
-    let spec = FleetSpec {
-        count: embedded.nodes,
+    let spec = FakeClusterSpec {
+        node_count: embedded.nodes,
         racks: 1,
         replicas: 1,
         cores: embedded.cores,
-        waiting: embedded.waiting,
-        work: embedded.work.duration(),
-        deferred: 0.0,
-        repeats_dropped: Duration::from_secs_f64(longest_window_ms / 1_000.0),
+        queue_capacity: embedded.waiting,
+        unit_work: embedded.work.duration(),
+        deferred_fraction: 0.0,
+        repeat_window: Duration::from_secs_f64(longest_window_ms / 1_000.0),
     };
-    Fleet::start(&spec, &host_settings.scheduler, host_settings.directory, Duration::ZERO, &Recorder::off())
-        .map(Some)
-        .map_err(|e| format!("embedded nodes, directory at {}: {e}", host_settings.directory))
+    FakeCluster::start(
+        &spec,
+        &host_settings.scheduler,
+        host_settings.directory,
+        Duration::ZERO,
+        &Recorder::disabled(),
+    )
+    .map(Some)
+    .map_err(|e| format!("embedded nodes, directory at {}: {e}", host_settings.directory))
 }
 
 fn serve(settings: &SettingsArguments, expect: Option<&str>, output: Output) -> Result<Exit, String> {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use pearfork_host::Host;
 use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
 use pearfork_net::{CommandToken, Connection, ConnectionEvent, StreamTap};
-use pearfork_rulecheck::{Place, Report, What};
+use pearfork_rulecheck::{Endpoint, Report, TraceEventKind};
 use pearfork_scsi::{encode_lun, MediaCommand, MediaOp};
-use pearfork_stand::{Fleet, FleetSpec, Recorder};
+use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 /// against.
 pub struct TestEnv {
     pub settings: HostSettings,
-    pub fleet: Fleet,
+    pub fleet: FakeCluster,
     pub hosts: Vec<Host>,
     pub recorder: Recorder,
 }
@@ -39,15 +39,16 @@
 impl TestEnv {
     /// Hosts with the default nodes and [`SETTINGS`].
     pub fn new(hosts: u16) -> TestEnv {
-        Self::with(hosts, &FleetSpec::default(), SETTINGS)
+        Self::with(hosts, &FakeClusterSpec::default(), SETTINGS)
     }
 
-    pub fn with(hosts: u16, spec: &FleetSpec, settings_text: &str) -> TestEnv {
+    pub fn with(hosts: u16, spec: &FakeClusterSpec, settings_text: &str) -> TestEnv {
         let mut settings = HostSettings::from_toml(settings_text).unwrap_or_else(|e| panic!("{e}"));
         settings.scheduler.hosts = u32::from(hosts);
         settings.volumes.iter_mut().for_each(|v| v.hosts = u32::from(hosts));
         let recorder = Recorder::default();
-        let fleet = Fleet::start(spec, &settings.scheduler, any_port(), Duration::ZERO, &recorder).unwrap();
+        let fleet =
+            FakeCluster::start(spec, &settings.scheduler, any_port(), Duration::ZERO, &recorder).unwrap();
         let mut env = TestEnv { settings, fleet, hosts: Vec::new(), recorder };
         (0..hosts).for_each(|number| env.add_host(number));
         env
@@ -70,13 +71,13 @@
 
     /// Checks the rules against the recorded traffic.
     pub fn check_rules(&self) -> Report {
-        judge_notes(&self.recorder.notes(), &self.settings, figures::of_plan(&self.settings, 500.0, 0.0))
+        judge_notes(&self.recorder.events(), &self.settings, figures::of_plan(&self.settings, 500.0, 0.0))
             .report
     }
 
     pub fn assert_rules_kept(&self) {
         let report = self.check_rules();
-        assert!(report.kept(), "\n{report}");
+        assert!(report.passed(), "\n{report}");
     }
 
     /// Opens a session to a volume of a host.
@@ -94,7 +95,7 @@
 
     /// The number of writes that nodes have applied.
     pub fn applied_count(&self) -> usize {
-        self.recorder.notes().iter().filter(|n| matches!(n.what, What::Applied { .. })).count()
+        self.recorder.events().iter().filter(|n| matches!(n.kind, TraceEventKind::Applied { .. })).count()
     }
 }
 
@@ -139,7 +140,7 @@
             digests: false,
             extension: false,
         };
-        let tap = recorder.tap(Place::Client { host }, |_, _, _| {}).map(|t| (t, 0));
+        let tap = recorder.tap(Endpoint::Client { host }, |_, _, _| {}).map(|t| (t, 0));
         let on_event = move |e| drop(sender.send(e));
         let connection = Connection::open(address, config, TIMEOUT, StreamTap(tap), on_event)?;
         Ok(TestInitiator { connection, events, lun: volume.lun, next_id: std::cell::Cell::new(1) })
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::*;
 use pearfork_net::ConnectionEvent;
-use pearfork_rulecheck::wire::NodeTag;
-use pearfork_rulecheck::{Place, Rule, What};
+use pearfork_rulecheck::wire::CommandMetadata;
+use pearfork_rulecheck::{Endpoint, Rule, TraceEventKind};
 use pearfork_scsi::{status, MediaOp, SenseKey};
-use pearfork_stand::{Fault, FleetSpec};
+use pearfork_stand::{FakeClusterSpec, NodeFault};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
@@ -28,10 +28,10 @@
     // Each of the two nodes wrote a part.
     let writers: std::collections::BTreeSet<u32> = env
         .recorder
-        .notes()
+        .events()
         .iter()
-        .filter_map(|n| match n.what {
-            What::Applied { node, .. } => Some(node),
+        .filter_map(|n| match n.kind {
+            TraceEventKind::Applied { node, .. } => Some(node),
             _ => None,
         })
         .collect();
@@ -79,7 +79,7 @@
 fn requests_to_an_unresponsive_node_get_one_safe_status_each_in_time() {
     let env = TestEnv::new(1);
     let initiator = env.initiator(0, 0);
-    env.fleet.node(1).fault(Fault::Hang(true));
+    env.fleet.node(1).set_fault(NodeFault::Hang(true));
     let began = Instant::now();
     initiator.submit(MediaOp::Read, 0, 8, Vec::new());
     initiator.submit(MediaOp::Write, 64, 8, vec![1; 4096]);
@@ -92,7 +92,7 @@
     assert!(matches!(ends[0].1.status, status::BUSY | status::TASK_SET_FULL));
     assert_eq!(status_and_sense(&ends[1].1), (status::CHECK_CONDITION, SenseKey::AbortedCommand as u8));
     assert_eq!(status_and_sense(&ends[2].1), (status::CHECK_CONDITION, SenseKey::AbortedCommand as u8));
-    env.fleet.node(1).fault(Fault::Hang(false));
+    env.fleet.node(1).set_fault(NodeFault::Hang(false));
     // Responses after the time-out are dropped, and their task tags are safe to use again.
     for fill in 1..20u8 {
         wait_until("a write that is served", || initiator.write(8, 4, fill).status == status::GOOD);
@@ -107,12 +107,12 @@
 fn a_write_reset_after_r2t_is_not_applied_and_succeeds_when_repeated() {
     let env = TestEnv::new(1);
     let initiator = env.initiator(0, 0);
-    env.fleet.node(2).fault(Fault::ResetAtR2t(true));
+    env.fleet.node(2).set_fault(NodeFault::ResetAtR2t(true));
     // Longer than the first burst of 256 KiB, so that the node sends an R2T for the rest.
     let done = initiator.write(first_block_of(1), 1024, 9);
     assert_ne!(done.status, status::GOOD);
     assert_eq!(env.applied_count(), 0, "an incomplete write must change nothing");
-    env.fleet.node(2).fault(Fault::ResetAtR2t(false));
+    env.fleet.node(2).set_fault(NodeFault::ResetAtR2t(false));
     wait_until("the write", || initiator.write(first_block_of(1), 1024, 9).status == status::GOOD);
     assert_eq!(initiator.read(first_block_of(1), 1024).data.to_bytes(), vec![9; 1024 * 512]);
     env.assert_rules_kept();
@@ -120,30 +120,31 @@
 
 #[test]
 fn a_draining_node_finishes_its_write_and_gets_no_new_request() {
-    let env = TestEnv::with(1, &FleetSpec { work: ms(300), ..FleetSpec::default() }, SETTINGS);
+    let env =
+        TestEnv::with(1, &FakeClusterSpec { unit_work: ms(300), ..FakeClusterSpec::default() }, SETTINGS);
     let initiator = env.initiator(0, 0);
     initiator.submit(MediaOp::Write, 0, 8, vec![3; 4096]);
     wait_until("the write at the node", || {
-        env.recorder.notes().iter().any(|n| {
-        matches!(&n.what, What::Pdu { place: Place::Node { node: 1 }, sent: false, header, .. } if header.op() == 1)
+        env.recorder.events().iter().any(|n| {
+        matches!(&n.kind, TraceEventKind::Pdu { endpoint: Endpoint::Node { node: 1 }, sent: false, header, .. } if header.opcode() == 1)
     })
     });
-    env.fleet.drain(1);
+    env.fleet.drain_node(1);
     assert_eq!(initiator.next_completion().1.status, status::GOOD, "the write in flight is finished");
-    let is_notified = |ready| move |n: &pearfork_rulecheck::Note| matches!(n.what, What::Told { node: 1, ready: r, .. } if r == ready);
+    let is_notified = |ready| move |n: &pearfork_rulecheck::TraceEvent| matches!(n.kind, TraceEventKind::NodeListed { node: 1, ready: r, .. } if r == ready);
     wait_until("the host to be notified of the drain", || {
-        env.recorder.notes().iter().any(is_notified(false))
+        env.recorder.events().iter().any(is_notified(false))
     });
     std::thread::sleep(ms(300));
-    let before = env.recorder.notes().len();
+    let before = env.recorder.events().len();
     for _ in 0..5 {
         initiator.submit(MediaOp::Read, 0, 8, Vec::new());
     }
     for _ in 0..5 {
         assert_ne!(initiator.next_completion().1.status, status::GOOD);
     }
-    let sent = env.recorder.notes()[before..].iter().filter(|n| {
-        matches!(&n.what, What::Pdu { place: Place::Node { node: 1 }, sent: false, header, .. } if header.op() == 1)
+    let sent = env.recorder.events()[before..].iter().filter(|n| {
+        matches!(&n.kind, TraceEventKind::Pdu { endpoint: Endpoint::Node { node: 1 }, sent: false, header, .. } if header.opcode() == 1)
     }).count();
     assert_eq!(sent, 0);
     env.assert_rules_kept();
@@ -156,23 +157,23 @@
     assert_eq!(initiator.write(0, 8, 1).status, status::GOOD);
     // A slow node resets its connection with writes in flight: they have run or will run, and are retried in
     // their window.
-    env.fleet.node(1).fault(Fault::Slow(100.0));
+    env.fleet.node(1).set_fault(NodeFault::Slow(100.0));
     for n in 0..4 {
         initiator.submit(MediaOp::Write, 100 + n * 8, 8, vec![n as u8 + 1; 4096]);
     }
     wait_until("the writes to be sent", || {
         env.hosts[0].node_counts().unwrap().get(&1).is_some_and(|c| c.sent >= 3)
     });
-    env.fleet.node(1).fault(Fault::Reset);
-    env.fleet.node(1).fault(Fault::Slow(1.0));
+    env.fleet.node(1).set_fault(NodeFault::Reset);
+    env.fleet.node(1).set_fault(NodeFault::Slow(1.0));
     for _ in 0..4 {
         initiator.next_completion();
     }
     let mut keys = std::collections::BTreeMap::new();
-    for n in env.recorder.notes() {
-        if let What::Pdu { place: Place::Node { .. }, sent: false, header, .. } = &n.what {
-            if let Some(tag) = NodeTag::find(&header.extra) {
-                keys.entry((tag.session, tag.command, tag.part)).or_insert_with(Vec::new).push(tag.attempt);
+    for n in env.recorder.events() {
+        if let TraceEventKind::Pdu { endpoint: Endpoint::Node { .. }, sent: false, header, .. } = &n.kind {
+            if let Some(tag) = CommandMetadata::find(&header.extra) {
+                keys.entry((tag.session, tag.cmd_sn, tag.part)).or_insert_with(Vec::new).push(tag.attempt);
             }
         }
     }
@@ -182,7 +183,7 @@
 
 #[test]
 fn an_abort_that_races_the_response_causes_no_second_response() {
-    let env = TestEnv::with(1, &FleetSpec { work: ms(2), ..FleetSpec::default() }, SETTINGS);
+    let env = TestEnv::with(1, &FakeClusterSpec { unit_work: ms(2), ..FakeClusterSpec::default() }, SETTINGS);
     let initiator = env.initiator(0, 0);
     let mut completed_and_aborted = [0, 0];
     for n in 0..60u64 {
@@ -204,7 +205,8 @@
 
 #[test]
 fn a_second_login_with_the_same_isid_replaces_the_session() {
-    let env = TestEnv::with(1, &FleetSpec { work: ms(100), ..FleetSpec::default() }, SETTINGS);
+    let env =
+        TestEnv::with(1, &FakeClusterSpec { unit_work: ms(100), ..FakeClusterSpec::default() }, SETTINGS);
     let initiator = env.initiator(0, 0);
     for n in 0..8 {
         initiator.submit(MediaOp::Read, n * 8, 8, Vec::new());
@@ -257,7 +259,7 @@
 #[test]
 fn forty_hosts_do_not_overload_a_cold_node() {
     let settings = SETTINGS.replace("cold_units = 40", "cold_units = 160");
-    let spec = FleetSpec { count: 1, racks: 1, work: ms(4), ..FleetSpec::default() };
+    let spec = FakeClusterSpec { node_count: 1, racks: 1, unit_work: ms(4), ..FakeClusterSpec::default() };
     let env = TestEnv::with(
         40,
         &spec,
@@ -278,18 +280,19 @@
         }
     };
     load(2, 0);
-    env.fleet.die(1);
-    env.fleet.restart(1).unwrap();
+    env.fleet.kill_node(1);
+    env.fleet.restart_node(1).unwrap();
     load(4, 7);
     wait_until("all responses", || initiators.iter().all(|i| i.connection.outstanding() == 0));
-    assert!(!env.fleet.node(1).has_fallen());
+    assert!(!env.fleet.node(1).has_crashed());
     env.assert_rules_kept();
-    assert!(env.check_rules().of(Rule::ColdNodes).unwrap().checks > 20, "\n{}", env.check_rules());
+    assert!(env.check_rules().finding(Rule::ColdNodes).unwrap().checks > 20, "\n{}", env.check_rules());
 }
 
 #[test]
 fn an_orderly_stop_answers_all_accepted_commands() {
-    let env = TestEnv::with(1, &FleetSpec { work: ms(150), ..FleetSpec::default() }, SETTINGS);
+    let env =
+        TestEnv::with(1, &FakeClusterSpec { unit_work: ms(150), ..FakeClusterSpec::default() }, SETTINGS);
     let initiator = env.initiator(0, 0);
     for n in 0..4 {
         initiator.submit(MediaOp::Read, first_block_of(n), 8, Vec::new());
@@ -313,8 +316,8 @@
 #[test]
 fn a_restarted_host_treats_a_recently_restarted_node_as_cold() {
     let mut env = TestEnv::new(1);
-    env.fleet.die(2);
-    env.fleet.restart(2).unwrap();
+    env.fleet.kill_node(2);
+    env.fleet.restart_node(2).unwrap();
     // A clock that starts with the process would place the node's start in the distant past.
     env.hosts.clear();
     env.add_host(0);
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -6,7 +6,7 @@
 use pearfork_day::{play, DayResult};
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::Rule;
-use pearfork_trial::{Processes, Program};
+use pearfork_trial::{HostProcesses, ProcessConfig};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -27,7 +27,7 @@
     }
     let host_settings = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
     let folder = tempfile::tempdir().unwrap();
-    let mut processes = Processes::new(Program {
+    let mut processes = HostProcesses::new(ProcessConfig {
         gateway: env!("CARGO_BIN_EXE_pearfork-gateway").into(),
         settings: SETTINGS.to_owned(),
         folder: folder.path().to_owned(),
@@ -37,7 +37,7 @@
         play(&scenario, &host_settings, &mut processes, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
     let summary = Summary::of(&result);
     assert!(summary.right, "{name}\n{}{}", summary.words(plain_output()), host_warnings(folder.path()));
-    let limits = result.rules.of(Rule::Limits).unwrap();
+    let limits = result.rules.finding(Rule::Limits).unwrap();
     assert!(limits.checks > 100, "{name}: too few checks of the limits");
     (summary, result)
 }
--- a/crates/gateway/tests/iscsi_sessions.rs
+++ b/crates/gateway/tests/iscsi_sessions.rs
@@ -6,7 +6,7 @@
 use pearfork_iscsi::{InitiatorConfig, InitiatorError, LoginStatus};
 use pearfork_net::{ConnectError, Connection, ConnectionEvent, StreamTap};
 use pearfork_scsi::{encode_lun, status, MediaCommand, MediaOp, SenseKey};
-use pearfork_stand::FleetSpec;
+use pearfork_stand::FakeClusterSpec;
 
 /// Settings without a keyed class and without the protocol extension toward nodes.
 fn settings_without_extension() -> String {
@@ -17,7 +17,7 @@
 
 #[test]
 fn plain_iscsi_targets_serve_as_nodes() {
-    let env = TestEnv::with(1, &FleetSpec::default(), &settings_without_extension());
+    let env = TestEnv::with(1, &FakeClusterSpec::default(), &settings_without_extension());
     let initiator = env.initiator(0, 0);
     for n in 0..40u64 {
         let lba = n * 1_001;
@@ -34,7 +34,7 @@
         "plan = \"prioritaire\"\ninitiators = [\"iqn.2026-12.org.example:asker\"]\n",
         1,
     );
-    let env = TestEnv::with(1, &FleetSpec::default(), &listed);
+    let env = TestEnv::with(1, &FakeClusterSpec::default(), &listed);
     assert_eq!(env.initiator(0, 0).read(0, 1).status, status::GOOD);
     let login = |name: &str, target: &str| {
         let config = InitiatorConfig {
@@ -91,7 +91,8 @@
 
 #[test]
 fn a_lun_reset_aborts_the_tasks_of_all_sessions_and_notifies_the_others_once() {
-    let env = TestEnv::with(1, &FleetSpec { work: ms(400), ..FleetSpec::default() }, SETTINGS);
+    let env =
+        TestEnv::with(1, &FakeClusterSpec { unit_work: ms(400), ..FakeClusterSpec::default() }, SETTINGS);
     let (resetting, other) = (
         env.initiator(0, 0),
         TestInitiator::open(env.hosts[0].address(), &env.recorder, 0, &env.settings, 0, 2).unwrap(),
--- a/crates/gateway/tests/routes.rs
+++ b/crates/gateway/tests/routes.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::{ms, status_and_sense, wait_until, TestEnv, SETTINGS};
-use pearfork_rulecheck::wire::{touch, NodeTag, Op};
-use pearfork_rulecheck::{Place, Rule, What};
+use pearfork_rulecheck::wire::{parse_media_access, CommandMetadata, Op};
+use pearfork_rulecheck::{Endpoint, Rule, TraceEventKind};
 use pearfork_scsi::{status, MediaOp, SenseKey};
-use pearfork_stand::{Fault, FleetSpec};
+use pearfork_stand::{FakeClusterSpec, NodeFault};
 use std::collections::BTreeMap;
 
 /// Two shards with two nodes each: nodes 1 and 3 hold the first, 2 and 4 the second.
-fn spec() -> FleetSpec {
-    FleetSpec { replicas: 2, ..FleetSpec::default() }
+fn spec() -> FakeClusterSpec {
+    FakeClusterSpec { replicas: 2, ..FakeClusterSpec::default() }
 }
 
 /// Settings with terms added to classes, routes, matching rows, and `free` attempts of the retry budget.
@@ -41,11 +41,11 @@
 /// The attempts of each request, grouped by its key, in order of arrival.
 fn attempts(env: &TestEnv) -> Vec<Vec<Attempt>> {
     let mut by_request: BTreeMap<_, Vec<Attempt>> = BTreeMap::new();
-    for n in env.recorder.notes() {
-        if let What::Pdu { place: Place::Node { node }, sent: false, header, .. } = &n.what {
-            if let Some(tag) = NodeTag::find(&header.extra) {
-                let key = (tag.host, tag.boot, tag.session, tag.command, tag.part);
-                let op = touch(&header.bytes[32..48]).map(|t| t.op);
+    for n in env.recorder.events() {
+        if let TraceEventKind::Pdu { endpoint: Endpoint::Node { node }, sent: false, header, .. } = &n.kind {
+            if let Some(tag) = CommandMetadata::find(&header.extra) {
+                let key = (tag.host, tag.host_start_s, tag.session, tag.cmd_sn, tag.part);
+                let op = parse_media_access(&header.bytes[32..48]).map(|t| t.op);
                 by_request.entry(key).or_default().push(Attempt {
                     at_ms: n.at_us as f64 / 1e3,
                     node: *node,
@@ -71,7 +71,7 @@
     };
     // Whichever node has the first attempt, the other serves the hedged one.
     for hung in [1, 3] {
-        env.fleet.node(hung).fault(Fault::Hang(true));
+        env.fleet.node(hung).set_fault(NodeFault::Hang(true));
         for n in 0..4 {
             let done = read(n * 8 % 16, 8);
             assert_eq!(done.status, status::GOOD, "node {hung} hangs");
@@ -79,7 +79,7 @@
                 assert_eq!(done.data.to_bytes(), vec![7; 4096]);
             }
         }
-        env.fleet.node(hung).fault(Fault::Hang(false));
+        env.fleet.node(hung).set_fault(NodeFault::Hang(false));
         wait_until("a read to be served", || read(0, 8).status == status::GOOD);
     }
     let all = attempts(&env);
@@ -102,8 +102,8 @@
     let env =
         TestEnv::with(1, &spec(), &settings(40, &[("small-read", "second_copy_after = \"60ms\"")], "", ""));
     let initiator = env.initiator(0, 0);
-    env.fleet.node(1).fault(Fault::Hang(true));
-    env.fleet.node(3).fault(Fault::Hang(true));
+    env.fleet.node(1).set_fault(NodeFault::Hang(true));
+    env.fleet.node(3).set_fault(NodeFault::Hang(true));
     assert_eq!(
         status_and_sense(&initiator.write(0, 8, 7)),
         (status::CHECK_CONDITION, SenseKey::AbortedCommand as u8)
@@ -120,9 +120,9 @@
     for fill in 1..=6u8 {
         // The node is slow, not down: the first attempt runs as well, late.
         let slow = if fill % 2 == 0 { 1 } else { 3 };
-        env.fleet.node(slow).fault(Fault::Slow(400.0));
+        env.fleet.node(slow).set_fault(NodeFault::Slow(400.0));
         assert_eq!(initiator.write(0, 8, fill).status, status::GOOD);
-        env.fleet.node(slow).fault(Fault::Slow(1.0));
+        env.fleet.node(slow).set_fault(NodeFault::Slow(1.0));
     }
     assert!(attempts(&env).iter().any(|r| r.len() == 2));
     std::thread::sleep(ms(900));
@@ -131,7 +131,7 @@
         vec![6; 4096],
         "a late attempt must not undo a later write"
     );
-    assert_eq!(env.check_rules().of(Rule::NoEffectTwice).map(|f| f.broken.len()), Some(0));
+    assert_eq!(env.check_rules().finding(Rule::NoEffectTwice).map(|f| f.violations.len()), Some(0));
     env.assert_rules_kept();
 }
 
@@ -143,8 +143,8 @@
     let row = "class \"impatient\" if volume == \"notes\" and op == \"read\" and blocks == 16;";
     let env = TestEnv::with(1, &spec(), &settings(40, &[], route, row));
     let initiator = env.initiator(0, 0);
-    env.fleet.node(1).fault(Fault::Hang(true));
-    env.fleet.node(3).fault(Fault::Hang(true));
+    env.fleet.node(1).set_fault(NodeFault::Hang(true));
+    env.fleet.node(3).set_fault(NodeFault::Hang(true));
     let sent_ms = env.recorder.elapsed_us() as f64 / 1e3;
     let done = initiator.read(0, 16);
     // After two attempts that timed out the read is refused: its client may retry it.
@@ -160,8 +160,8 @@
     std::thread::sleep(ms(600));
     let with_one_attempt = attempts(&env).into_iter().filter(|r| r.len() == 1).count();
     assert_eq!(with_one_attempt, 1, "one attempt, which waits until the request's deadline");
-    env.fleet.node(1).fault(Fault::Hang(false));
-    env.fleet.node(3).fault(Fault::Hang(false));
+    env.fleet.node(1).set_fault(NodeFault::Hang(false));
+    env.fleet.node(3).set_fault(NodeFault::Hang(false));
     initiator.next_completion();
     env.assert_rules_kept();
 }
@@ -170,8 +170,8 @@
 fn the_retry_budget_is_kept_while_half_of_the_nodes_hang() {
     let terms = "attempt = \"100ms\"\nattempts = 4\nsecond_copy_after = \"30ms\"";
     let env = TestEnv::with(2, &spec(), &settings(3, &[("small-read", terms)], "", ""));
-    env.fleet.node(1).fault(Fault::Hang(true));
-    env.fleet.node(4).fault(Fault::Hang(true));
+    env.fleet.node(1).set_fault(NodeFault::Hang(true));
+    env.fleet.node(4).set_fault(NodeFault::Hang(true));
     std::thread::scope(|s| {
         for client in 0..4u8 {
             let env = &env;
@@ -198,6 +198,6 @@
     let extra_attempts: usize = attempts(&env).iter().map(|r| r.len() - 1).sum();
     assert!(extra_attempts > 0, "no retry or hedged attempt");
     let report = env.check_rules();
-    assert!(report.of(Rule::RetryBudget).is_some_and(|f| f.checks > 0));
-    assert!(report.kept(), "\n{report}");
+    assert!(report.finding(Rule::RetryBudget).is_some_and(|f| f.checks > 0));
+    assert!(report.passed(), "\n{report}");
 }
