--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod request;
 
-use pearfork_day::script::Day;
+use pearfork_day::scenario::Scenario;
 use pearfork_host::settings::{HostSettings, Overrides};
 use pearfork_match::{Gravity, Rules};
 use serde::Serialize;
@@ -82,10 +82,10 @@
         .and_then(|t| t.parse::<toml::Table>().ok())
         .is_some_and(|t| t.contains_key("day") && !t.contains_key("host"));
     if is_day {
-        let told = Day::from_toml(&String::from_utf8_lossy(&text));
+        let told = Scenario::from_toml(&String::from_utf8_lossy(&text));
         let faults = told.as_ref().err().map_or(String::new(), |e| format!("{name}: {e}"));
         let summary = told.map_or(String::new(), |d| {
-            format!("{} events, {} kinds of clients", d.event.len(), d.client.len())
+            format!("{} events, {} kinds of clients", d.events.len(), d.clients.len())
         });
         return verdict(Some(Kind::Day), faults, Vec::new(), summary);
     }
--- a/crates/day/benches/calm.rs
+++ b/crates/day/benches/calm.rs
@@ -4,9 +4,9 @@
 //! `cargo bench -p pearfork-day --bench calm` prints a table for `docs/results/quiet.md`; `-- 0.7 8` plays one cell, a part of
 //! the power and a number of hosts. No figure here is a test.
 
-use pearfork_day::crew::InProcess;
-use pearfork_day::play;
-use pearfork_day::script::Day;
+use pearfork_day::host_runner::InProcessRunner;
+use pearfork_day::run_scenario;
+use pearfork_day::scenario::Scenario;
 use pearfork_host::settings::HostSettings;
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 /// Units of a request of the exports in the mean: 0.6 of one unit, 0.4 of eight.
 const EXPORT_UNITS: f64 = 3.8;
 
-fn day(part: f64, hosts: u16) -> Day {
+fn day(part: f64, hosts: u16) -> Scenario {
     let clients = f64::from(hosts.max(16));
     let (notes, exports) = (part * POWER * 0.6 / clients, part * POWER * 0.4 / EXPORT_UNITS / clients);
     let text = format!(
@@ -50,7 +50,7 @@
 large_part = 0.4
 "#
     );
-    Day::from_toml(&text).expect("a day")
+    Scenario::from_toml(&text).expect("a day")
 }
 
 fn main() {
@@ -63,8 +63,8 @@
     let wanted = |at: usize, value: f64| asked.get(at).is_none_or(|a| *a == value);
     for part in [0.1, 0.25, 0.5, 0.7].into_iter().filter(|p| wanted(0, *p)) {
         for hosts in [1u16, 2, 8, 40].into_iter().filter(|h| wanted(1, f64::from(*h))) {
-            let result =
-                play(&day(part, hosts), &plan, &mut InProcess::default(), |_, _| {}).expect("a day played");
+            let result = run_scenario(&day(part, hosts), &plan, &mut InProcessRunner::default(), |_, _| {})
+                .expect("a day played");
             assert!(result.rules.kept(), "\n{}", result.rules);
             let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| -> u64 {
                 result.hosts.iter().flatten().map(f).sum()
--- a/crates/day/benches/retries.rs
+++ b/crates/day/benches/retries.rs
@@ -3,9 +3,9 @@
 //!
 //! `cargo bench -p pearfork-day --bench retries` prints a table for `docs/results/`. No figure here is a test.
 
-use pearfork_day::crew::InProcess;
-use pearfork_day::script::Day;
-use pearfork_day::{play, DayResult};
+use pearfork_day::host_runner::InProcessRunner;
+use pearfork_day::scenario::Scenario;
+use pearfork_day::{run_scenario, RunResult};
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::wire::NodeTag;
 use pearfork_rulecheck::{Place, What};
@@ -14,7 +14,7 @@
 const ROUNDS: usize = 2;
 
 /// Six nodes, two to a shard; one of each of two shards has a trouble for half of the day.
-fn day(rate: u32, trouble: &str) -> Day {
+fn day(rate: u32, trouble: &str) -> Scenario {
     let trouble = |node: u32| format!("[[event]]\nat = \"2s\"\nnode = {node}\nfor = \"4s\"\n{trouble}\n");
     let text = format!(
         r#"
@@ -46,7 +46,7 @@
         trouble(1),
         trouble(5)
     );
-    Day::from_toml(&text).unwrap_or_else(|e| panic!("{e}"))
+    Scenario::from_toml(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 fn settings(class_terms: &str, budget: bool, second_copies: bool) -> HostSettings {
@@ -70,7 +70,7 @@
     broken: usize,
 }
 
-fn row(r: &DayResult) -> Row {
+fn row(r: &RunResult) -> Row {
     let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| r.hosts.iter().flatten().map(f).sum();
     let further = r.notes.iter().filter(|n| match &n.what {
         What::Pdu { place: Place::Node { .. }, sent: false, header, .. } => {
@@ -119,8 +119,8 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for round in 1..=ROUNDS {
         for ((what, day), (name, plan)) in days.iter().flat_map(|d| kinds.iter().map(move |k| (d, k))) {
-            let result =
-                play(day, plan, &mut InProcess::default(), |_, _| {}).unwrap_or_else(|e| panic!("{e}"));
+            let result = run_scenario(day, plan, &mut InProcessRunner::default(), |_, _| {})
+                .unwrap_or_else(|e| panic!("{e}"));
             let r = row(&result);
             println!(
                 "| {what}, {round} | {name} | {} | {} | {} | {} | {} | {} |",
--- a/crates/day/src/expect.rs
+++ b/crates/day/src/expectations.rs
@@ -1,6 +1,6 @@
 //! What a day promises of a volume's use, beyond the rules: told from what came to nodes.
 
-use crate::script::ExpectTable;
+use crate::scenario::ExpectTable;
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::trace::Trace;
 use serde::Serialize;
@@ -8,21 +8,30 @@
 
 /// One expectation, and what came.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Expected {
+pub struct ExpectationResult {
     /// The volume.
     pub volume: String,
     /// Seconds of the record between which it counts.
-    pub between_s: (f64, f64),
+    #[serde(rename = "between_s")]
+    pub window_s: (f64, f64),
     /// Units a second that all hosts sent, first sendings alone, as a part of the volume's limit.
-    pub came: f64,
+    #[serde(rename = "came")]
+    pub measured: f64,
     /// What it must be at the least, and at the most.
-    pub wanted: (f64, f64),
+    #[serde(rename = "wanted")]
+    pub bounds: (f64, f64),
     /// Whether it is.
-    pub right: bool,
+    #[serde(rename = "right")]
+    pub met: bool,
 }
 
 /// Judges a day's expectations. `began_us` is when the day's clock began in the record.
-pub fn judge(expect: &[ExpectTable], plan: &HostSettings, trace: &Trace, began_us: u64) -> Vec<Expected> {
+pub fn evaluate(
+    expect: &[ExpectTable],
+    plan: &HostSettings,
+    trace: &Trace,
+    began_us: u64,
+) -> Vec<ExpectationResult> {
     // Each request draws its units at its first sending.
     let mut first: HashMap<_, (u64, u32, f64)> = HashMap::new();
     for a in &trace.attempts {
@@ -40,14 +49,14 @@
             first.values().filter(|(us, v, _)| *v == id && within.contains(us)).map(|(.., u)| u).sum();
         let span_s = (e.to.ms() - e.from.ms()).max(1.0) / 1_000.0;
         // A sum of nothing is -0.0.
-        let came = (units / span_s / limit.max(1e-9)).max(0.0);
-        let wanted = (e.at_least, e.at_most.unwrap_or(f64::INFINITY));
-        Expected {
+        let measured = (units / span_s / limit.max(1e-9)).max(0.0);
+        let bounds = (e.at_least, e.at_most.unwrap_or(f64::INFINITY));
+        ExpectationResult {
             volume: e.volume.clone(),
-            between_s: (e.from.ms() / 1_000.0, e.to.ms() / 1_000.0),
-            came,
-            wanted,
-            right: came >= wanted.0 && came <= wanted.1,
+            window_s: (e.from.ms() / 1_000.0, e.to.ms() / 1_000.0),
+            measured,
+            bounds,
+            met: measured >= bounds.0 && measured <= bounds.1,
         }
     };
     expect.iter().map(one).collect()
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -3,16 +3,16 @@
 //! [`script`] is the day as a file, [`play()`] plays it with a [`crew`] that runs its hosts, [`figures`] puts what the hosts are told into the words of the
 //! checker of rules, [`judge()`] judges a record, [`summary`] says what came of it.
 
-pub mod crew;
-pub mod expect;
-pub mod figures;
-mod judge;
-mod play;
-pub mod script;
+pub mod expectations;
+pub mod host_runner;
+mod rule_check;
+pub mod rule_parameters;
+mod run;
+pub mod scenario;
 pub mod summary;
 
-pub use judge::{judge, judge_notes, JudgeError, Judged};
-pub use play::{play, DayError, DayResult, During};
+pub use rule_check::{check_notes, check_recording, RuleCheck, RuleCheckError};
+pub use run::{run_scenario, FaultPeriod, RunError, RunResult};
 
 use pearfork_cli::SettingsArguments;
 use pearfork_host::settings::HostSettings;
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// A file that can't be read, or settings that are refused, in words.
-pub fn asked(day: &Path, settings: &SettingsArguments) -> Result<(String, HostSettings), String> {
+pub fn load_inputs(day: &Path, settings: &SettingsArguments) -> Result<(String, HostSettings), String> {
     let text = std::fs::read_to_string(day).map_err(|e| format!("{}: {e}", day.display()))?;
     let plan = HostSettings::load_with(&settings.config, &settings.over())
         .map_err(|e| format!("the settings are refused\n{e}"))?;
--- a/crates/day/src/main.rs
+++ b/crates/day/src/main.rs
@@ -2,10 +2,10 @@
 
 use clap::{Parser, Subcommand};
 use pearfork_cli::{Common, Exit, SettingsArguments};
-use pearfork_day::crew::InProcess;
-use pearfork_day::script::Day;
+use pearfork_day::host_runner::InProcessRunner;
+use pearfork_day::scenario::Scenario;
 use pearfork_day::summary::Summary;
-use pearfork_day::{asked, play, DEMO};
+use pearfork_day::{load_inputs, run_scenario, DEMO};
 use pearfork_host::settings::HostSettings;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
@@ -62,7 +62,7 @@
 fn work(arguments: Arguments) -> Result<Exit, String> {
     match &arguments.command {
         Command::Play { day, settings, record } => {
-            let (text, plan) = asked(day, settings)?;
+            let (text, plan) = load_inputs(day, settings)?;
             run(&day.display().to_string(), &text, &plan, record.as_deref(), &arguments.common)
         }
         Command::Demo { record } => HostSettings::from_toml(DEMO.1)
@@ -79,7 +79,7 @@
     common: &Common,
 ) -> Result<Exit, String> {
     let output = common.output;
-    let day = Day::from_toml(day).map_err(|e| format!("{name}: {e}"))?;
+    let day = Scenario::from_toml(day).map_err(|e| format!("{name}: {e}"))?;
     // A place that can't be written is told before the day is played, not after.
     let file = record
         .map(|path| std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display())))
@@ -93,19 +93,20 @@
         &format!(
             "{} nodes, {} hosts, {} kinds of clients, {} troubles, {:.0} s",
             day.nodes.count,
-            day.day.hosts,
-            day.client.len(),
-            day.event.len(),
-            day.day.length.ms() / 1_000.0
+            day.run.hosts,
+            day.clients.len(),
+            day.events.len(),
+            day.run.length.ms() / 1_000.0
         ),
     );
-    let result = play(&day, plan, &mut InProcess::default(), told).map_err(|e| e.to_string())?;
-    let summary = Summary::of(&result);
-    output.put(&summary, &summary.words(output));
+    let result =
+        run_scenario(&day, plan, &mut InProcessRunner::default(), told).map_err(|e| e.to_string())?;
+    let summary = Summary::new(&result);
+    output.put(&summary, &summary.render(output));
     if let (Some(file), Some(path)) = (file, record) {
         let recording = result.recording(name, &day, plan);
         pearfork_record::write(std::io::BufWriter::new(file), &recording)
             .map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    Ok(if summary.right { Exit::Fine } else { Exit::No })
+    Ok(if summary.passed { Exit::Fine } else { Exit::No })
 }
--- a/crates/day/src/judge.rs
+++ b/crates/day/src/rule_check.rs
@@ -1,6 +1,6 @@
 //! Judges a record by the settings that it holds.
 
-use crate::figures;
+use crate::rule_parameters;
 use pearfork_host::settings::{HostSettings, HostSettingsErrors};
 use pearfork_record::Recording;
 use pearfork_rulecheck::trace::Trace;
@@ -9,7 +9,7 @@
 
 /// A record that can't be judged.
 #[derive(Debug, thiserror::Error)]
-pub enum JudgeError {
+pub enum RuleCheckError {
     /// The settings that it was played with are refused by this version.
     #[error("the settings in the record are refused\n{0}")]
     Settings(#[from] HostSettingsErrors),
@@ -17,31 +17,31 @@
 
 /// A record, put together and judged.
 #[derive(Debug)]
-pub struct Judged {
+pub struct RuleCheck {
     /// The seven rules.
     pub report: Report,
     /// Commands and attempts.
     pub trace: Trace,
     /// What they were judged by.
-    pub figures: Figures,
+    pub parameters: Figures,
 }
 
 /// The seven rules over notes of hosts with a plan. In a day each volume has a unit number of its own.
-pub fn judge_notes(notes: &[Note], plan: &HostSettings, figures: Figures) -> Judged {
+pub fn check_notes(notes: &[Note], plan: &HostSettings, parameters: Figures) -> RuleCheck {
     let volume_of = |_: u16, lun: u64| {
         let unit = unit_of(lun)?;
         plan.volumes.iter().find(|v| v.lun == unit).map(|v| v.id.0)
     };
-    let trace = Trace::read(notes, &figures, &volume_of);
-    Judged { report: check_trace(notes, &trace, &figures), trace, figures }
+    let trace = Trace::read(notes, &parameters, &volume_of);
+    RuleCheck { report: check_trace(notes, &trace, &parameters), trace, parameters }
 }
 
 /// The seven rules over a record, by the settings in it.
 ///
 /// # Errors
 /// They make no plan.
-pub fn judge(recording: &Recording) -> Result<Judged, JudgeError> {
+pub fn check_recording(recording: &Recording) -> Result<RuleCheck, RuleCheckError> {
     let plan = HostSettings::from_toml(&recording.head.settings)?;
-    let figures = figures::of_plan(&plan, recording.head.margin_ms, recording.head.began_ms);
-    Ok(judge_notes(&recording.notes, &plan, figures))
+    let parameters = rule_parameters::from_settings(&plan, recording.head.margin_ms, recording.head.began_ms);
+    Ok(check_notes(&recording.notes, &plan, parameters))
 }
--- a/crates/day/src/figures.rs
+++ b/crates/day/src/rule_parameters.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// The figures that a record of hosts with this plan is judged by; `began_ms` is when it began, of the Unix epoch.
-pub fn of_plan(plan: &HostSettings, margin_ms: f64, began_ms: f64) -> Figures {
+pub fn from_settings(plan: &HostSettings, margin_ms: f64, began_ms: f64) -> Figures {
     let m = &plan.scheduler;
     let classes = plan.class_names.iter().zip(&m.classes).map(|(name, c)| Class {
         name: name.clone(),
--- a/crates/day/src/play.rs
+++ b/crates/day/src/run.rs
@@ -1,9 +1,9 @@
 //! Plays a scripted day on loopback: nodes, hosts and clients, troubles at their times, and the verdict.
 
-use crate::crew::{Counts, Crew};
-use crate::expect::{self, Expected};
-use crate::script::{Day, EventKind, EventTable};
-use crate::{figures, judge_notes};
+use crate::expectations::{self, ExpectationResult};
+use crate::host_runner::{HostCounts, HostRunner};
+use crate::scenario::{EventKind, EventTable, Scenario};
+use crate::{check_notes, rule_parameters};
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::HostError;
@@ -16,21 +16,21 @@
 
 /// A day that could not be played.
 #[derive(Debug, thiserror::Error)]
-pub enum DayError {
+pub enum RunError {
     /// A stand-in could not start.
     #[error("a stand-in could not start: {0}")]
-    Stand(#[from] io::Error),
+    Environment(#[from] io::Error),
     /// A host could not start.
     #[error(transparent)]
     Host(#[from] HostError),
     /// The day and the settings do not go together.
     #[error("{0}")]
-    Unfit(String),
+    Invalid(String),
 }
 
 /// Refusals and failures while the same troubles went on.
 #[derive(Clone, Debug)]
-pub struct During {
+pub struct FaultPeriod {
     /// The troubles; none on a calm stretch.
     pub troubles: Vec<String>,
     /// For how long in all.
@@ -42,13 +42,13 @@
 /// Keeps refusals apart by what goes on.
 #[derive(Default)]
 struct Ledger {
-    during: Vec<During>,
+    during: Vec<FaultPeriod>,
     /// What is under way, by its words.
     under_way: Vec<String>,
     since: Duration,
     seen: ReasonCounts,
     /// What each host counted up to the last time that it was killed.
-    lost: Vec<Counts>,
+    lost: Vec<HostCounts>,
 }
 
 impl Ledger {
@@ -58,7 +58,7 @@
     }
 
     /// All that a host counted up to now, before it was killed included.
-    fn counts(&self, number: usize, crew: &dyn Crew) -> Counts {
+    fn counts(&self, number: usize, crew: &dyn HostRunner) -> HostCounts {
         let (mut classes, mut reasons) = self.lost[number].clone();
         if let Some((own, why)) = crew.counts(number as u16) {
             classes.iter_mut().zip(&own).for_each(|(sum, c)| sum.merge(c));
@@ -68,12 +68,12 @@
     }
 
     /// A host is about to be killed.
-    fn lose(&mut self, number: usize, crew: &dyn Crew) {
+    fn lose(&mut self, number: usize, crew: &dyn HostRunner) {
         self.lost[number] = self.counts(number, crew);
     }
 
     /// Closes the stretch that ends now.
-    fn close(&mut self, at: Duration, crew: &dyn Crew) {
+    fn close(&mut self, at: Duration, crew: &dyn HostRunner) {
         let mut all = ReasonCounts::default();
         (0..self.lost.len()).for_each(|i| all.merge(&self.counts(i, crew).1));
         let (reasons, lasted) = (all.since(&self.seen), at.saturating_sub(self.since));
@@ -82,7 +82,7 @@
                 d.reasons.merge(&reasons);
                 d.lasted += lasted;
             }
-            None => self.during.push(During { troubles: self.under_way.clone(), lasted, reasons }),
+            None => self.during.push(FaultPeriod { troubles: self.under_way.clone(), lasted, reasons }),
         }
         (self.seen, self.since) = (all, at);
     }
@@ -90,13 +90,13 @@
 
 /// What came of a day.
 #[derive(Debug)]
-pub struct DayResult {
+pub struct RunResult {
     /// Tallies of the clients, by name.
     pub clients: Vec<(String, ClientTally)>,
     /// Counts of each host by class.
     pub hosts: Vec<Vec<ClassCounts>>,
     /// Refusals and failures of all hosts, by what went on at the time.
-    pub during: Vec<During>,
+    pub fault_periods: Vec<FaultPeriod>,
     /// Those of each host.
     pub reasons: Vec<ReasonCounts>,
     /// Names of the classes.
@@ -106,30 +106,30 @@
     /// The record, for tests that break it on purpose.
     pub notes: Vec<Note>,
     /// What it was judged by.
-    pub figures: pearfork_rulecheck::Figures,
+    pub rule_parameters: pearfork_rulecheck::Figures,
     /// What was promised of volumes with a limit, and what came.
-    pub expected: Vec<Expected>,
+    pub expectations: Vec<ExpectationResult>,
     /// Nodes that fell over cold.
-    pub fallen: Vec<u32>,
+    pub collapsed_nodes: Vec<u32>,
     /// What the script did.
     pub said: Vec<Said>,
     /// Start of the record, milliseconds of the Unix epoch.
     pub began_ms: f64,
 }
 
-impl DayResult {
+impl RunResult {
     /// Blocks that were read and were not what they had to be.
     pub fn stale(&self) -> Vec<&str> {
         self.clients.iter().flat_map(|(_, t)| t.stale.iter().map(String::as_str)).collect()
     }
 
     /// The record of the day, to be kept.
-    pub fn recording(&self, name: &str, day: &Day, plan: &HostSettings) -> Recording {
+    pub fn recording(&self, name: &str, day: &Scenario, plan: &HostSettings) -> Recording {
         let head = Head {
             name: name.to_owned(),
-            hosts: day.day.hosts,
-            length_ms: day.day.length.ms(),
-            margin_ms: day.day.margin.ms(),
+            hosts: day.run.hosts,
+            length_ms: day.run.length.ms(),
+            margin_ms: day.run.margin.ms(),
             began_ms: self.began_ms,
             settings: plan.provenance.resolved().to_owned(),
             ..Head::default()
@@ -171,24 +171,27 @@
 ///
 /// # Errors
 /// Nothing was played, or no thread could be had on the way.
-pub fn play(
-    day: &Day,
+pub fn run_scenario(
+    day: &Scenario,
     plan: &HostSettings,
-    crew: &mut dyn Crew,
+    crew: &mut dyn HostRunner,
     mut progress: impl FnMut(Duration, &str),
-) -> Result<DayResult, DayError> {
+) -> Result<RunResult, RunError> {
     let mut luns: Vec<u16> = plan.volumes.iter().map(|v| v.lun).collect();
     luns.sort_unstable();
     luns.dedup();
     if luns.len() != plan.volumes.len() {
-        return Err(DayError::Unfit("in a day, each volume needs a unit number of its own".to_owned()));
+        return Err(RunError::Invalid("in a day, each volume needs a unit number of its own".to_owned()));
     }
     let limited = |name: &str| {
         let volume = plan.volumes.iter().find(|v| v.name == name);
         volume.is_some_and(|v| plan.scheduler.plans[usize::from(v.plan)].limit > 0.0)
     };
-    if let Some(e) = day.expect.iter().find(|e| !limited(&e.volume)) {
-        return Err(DayError::Unfit(format!("there is no volume `{}` with a limit to expect of", e.volume)));
+    if let Some(e) = day.expectations.iter().find(|e| !limited(&e.volume)) {
+        return Err(RunError::Invalid(format!(
+            "there is no volume `{}` with a limit to expect of",
+            e.volume
+        )));
     }
     let began_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0;
     let recorder = Recorder::default();
@@ -204,13 +207,13 @@
         deferred: day.nodes.deferred,
         repeats_dropped: day.nodes.repeats_dropped.duration(),
     };
-    let late = day.day.directory_late.duration();
+    let late = day.run.directory_late.duration();
     let fleet = Fleet::start(&spec, &plan.scheduler, anywhere, late, &recorder)?;
     let hosts = crew.start(day, plan, fleet.directory().address())?;
     let clients = start_clients(day, plan, &hosts, &recorder)?;
     let steps = timeline(day);
     let (began, began_us) = (Instant::now(), recorder.elapsed_us());
-    let length = day.day.length.duration();
+    let length = day.run.length.duration();
     let mut ledger = Ledger::new(hosts.len(), plan.class_names.len());
     let (mut next_step, mut next_line) = (0, Duration::from_secs(1));
     while began.elapsed() < length {
@@ -243,51 +246,51 @@
     let within = Duration::from_secs_f64(longest / 1_000.0) + Duration::from_secs(1);
     let done: Vec<(String, ClientTally)> = clients.into_iter().map(|(n, c)| (n, c.finish(within))).collect();
     ledger.close(began.elapsed(), crew);
-    let counts: Vec<Counts> = (0..hosts.len()).map(|i| ledger.counts(i, crew)).collect();
+    let counts: Vec<HostCounts> = (0..hosts.len()).map(|i| ledger.counts(i, crew)).collect();
     crew.stop();
     let (by_class, reasons) = counts.into_iter().unzip();
     std::thread::sleep(Duration::from_millis(50));
     let notes = recorder.notes();
-    let figures = figures::of_plan(plan, day.day.margin.ms(), began_ms);
-    let judged = judge_notes(&notes, plan, figures);
+    let figures = rule_parameters::from_settings(plan, day.run.margin.ms(), began_ms);
+    let judged = check_notes(&notes, plan, figures);
     let fallen = fleet.nodes().iter().filter(|n| n.has_fallen()).map(|n| n.spec().id).collect();
-    Ok(DayResult {
+    Ok(RunResult {
         clients: done,
         hosts: by_class,
-        during: ledger.during,
+        fault_periods: ledger.during,
         reasons,
         class_names: plan.class_names.clone(),
         rules: judged.report,
         notes,
-        figures: judged.figures,
-        expected: expect::judge(&day.expect, plan, &judged.trace, began_us),
-        fallen,
+        rule_parameters: judged.parameters,
+        expectations: expectations::evaluate(&day.expectations, plan, &judged.trace, began_us),
+        collapsed_nodes: fallen,
         said,
         began_ms,
     })
 }
 
 fn start_clients(
-    day: &Day,
+    day: &Scenario,
     plan: &HostSettings,
     hosts: &[SocketAddr],
     recorder: &Recorder,
-) -> Result<Vec<(String, Client)>, DayError> {
+) -> Result<Vec<(String, Client)>, RunError> {
     let mut clients = Vec::new();
-    for (t, table) in day.client.iter().enumerate() {
+    for (t, table) in day.clients.iter().enumerate() {
         let Some(volume) = plan.volumes.iter().find(|v| v.name == table.volume) else {
-            return Err(DayError::Unfit(format!(
+            return Err(RunError::Invalid(format!(
                 "client `{}`: there is no volume `{}`",
                 table.name, table.volume
             )));
         };
         let of_volume: u64 =
-            day.client.iter().filter(|c| c.volume == table.volume).map(|c| u64::from(c.count)).sum();
+            day.clients.iter().filter(|c| c.volume == table.volume).map(|c| u64::from(c.count)).sum();
         let before: u64 =
-            day.client[..t].iter().filter(|c| c.volume == table.volume).map(|c| u64::from(c.count)).sum();
+            day.clients[..t].iter().filter(|c| c.volume == table.volume).map(|c| u64::from(c.count)).sum();
         let each = volume.unit.blocks / of_volume;
         if each < u64::from(table.small.max(table.large)) {
-            return Err(DayError::Unfit(format!(
+            return Err(RunError::Invalid(format!(
                 "client `{}`: the volume is too small for so many",
                 table.name
             )));
@@ -296,7 +299,7 @@
             let host = table.host.unwrap_or((clients.len() % hosts.len()) as u16);
             let spec = ClientSpec {
                 name: format!("{}{n}", table.name),
-                seed: day.day.seed.wrapping_mul(4_096).wrapping_add(clients.len() as u64 + 1),
+                seed: day.run.seed.wrapping_mul(4_096).wrapping_add(clients.len() as u64 + 1),
                 host: (host, hosts[usize::from(host)]),
                 target: volume.target.clone(),
                 lun: volume.lun,
@@ -318,9 +321,9 @@
     Ok(clients)
 }
 
-fn timeline(day: &Day) -> Vec<(Duration, Step)> {
+fn timeline(day: &Scenario) -> Vec<(Duration, Step)> {
     let mut steps = Vec::new();
-    for e in &day.event {
+    for e in &day.events {
         steps.push((e.at.duration(), Step::Begin(e.clone())));
         if let Some(lasts) = e.lasts {
             steps.push((e.at.duration() + lasts.duration(), Step::End(e.clone())));
@@ -333,11 +336,11 @@
 fn begin(
     e: &EventTable,
     fleet: &Fleet,
-    crew: &mut dyn Crew,
+    crew: &mut dyn HostRunner,
     ledger: &mut Ledger,
     clients: &[(String, Client)],
     recorder: &Recorder,
-) -> Result<String, DayError> {
+) -> Result<String, RunError> {
     let node = || fleet.node(e.node.unwrap_or(1));
     let times = e.times.unwrap_or(1.0);
     let span = e.lasts.unwrap_or_default().duration();
@@ -366,12 +369,12 @@
         EventKind::HostStop => {
             let host = e.host.unwrap_or(0);
             recorder.note(What::HostStalled { host, for_us: span.as_micros() as u64 });
-            crew.trouble(e, true)?;
+            crew.set_fault(e, true)?;
         }
         EventKind::Surge => named().for_each(|(_, c)| c.surge(times)),
         EventKind::Leave => named().for_each(|(_, c)| c.leave()),
         EventKind::DirectoryDown => fleet.directory().set_down(true),
-        _ => crew.trouble(e, true)?,
+        _ => crew.set_fault(e, true)?,
     }
     Ok(words(e, "begins"))
 }
@@ -379,9 +382,9 @@
 fn end(
     e: &EventTable,
     fleet: &Fleet,
-    crew: &mut dyn Crew,
+    crew: &mut dyn HostRunner,
     clients: &[(String, Client)],
-) -> Result<String, DayError> {
+) -> Result<String, RunError> {
     let id = e.node.unwrap_or(1);
     let node = || fleet.node(id);
     match e.what {
@@ -397,7 +400,7 @@
         }
         EventKind::DirectoryDown => fleet.directory().set_down(false),
         EventKind::Reset | EventKind::StandStill | EventKind::HostStall | EventKind::Leave => {}
-        _ => crew.trouble(e, false)?,
+        _ => crew.set_fault(e, false)?,
     }
     Ok(words(e, "ends"))
 }
--- a/crates/day/src/script.rs
+++ b/crates/day/src/scenario.rs
@@ -6,19 +6,21 @@
 /// A day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     /// Length, hosts, seed.
-    pub day: DayTable,
+    #[serde(rename = "day")]
+    pub run: RunTable,
     /// The nodes.
     pub nodes: NodesTable,
     /// The clients.
-    pub client: Vec<ClientTable>,
+    #[serde(rename = "client")]
+    pub clients: Vec<ClientTable>,
     /// The troubles.
-    #[serde(default)]
-    pub event: Vec<EventTable>,
+    #[serde(rename = "event", default)]
+    pub events: Vec<EventTable>,
     /// What is promised of volumes with a limit.
-    #[serde(default)]
-    pub expect: Vec<ExpectTable>,
+    #[serde(rename = "expect", default)]
+    pub expectations: Vec<ExpectTable>,
 }
 
 /// A promise of how much of a volume's limit is used, in a stretch of the day.
@@ -40,7 +42,7 @@
 /// Length, hosts, seed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DayTable {
+pub struct RunTable {
     /// How long clients offer load.
     pub length: Span,
     /// Seed of all draws.
@@ -223,7 +225,7 @@
 
 /// A day that can't be played.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ScriptError {
+pub enum ScenarioError {
     /// Not TOML, an unknown key, or a value of the wrong kind.
     #[error("{0}")]
     Syntax(String),
@@ -237,21 +239,21 @@
     },
 }
 
-impl Day {
+impl Scenario {
     /// Reads and checks a day.
     ///
     /// # Errors
     /// The first fault.
-    pub fn from_toml(text: &str) -> Result<Day, ScriptError> {
-        let day: Day = toml::from_str(text).map_err(|e| ScriptError::Syntax(e.to_string()))?;
-        let bad = |entry: String, what: &str| Err(ScriptError::Value { entry, what: what.to_owned() });
-        if day.day.hosts == 0 || day.nodes.count == 0 || day.nodes.cores == 0 || day.nodes.racks == 0 {
+    pub fn from_toml(text: &str) -> Result<Scenario, ScenarioError> {
+        let day: Scenario = toml::from_str(text).map_err(|e| ScenarioError::Syntax(e.to_string()))?;
+        let bad = |entry: String, what: &str| Err(ScenarioError::Value { entry, what: what.to_owned() });
+        if day.run.hosts == 0 || day.nodes.count == 0 || day.nodes.cores == 0 || day.nodes.racks == 0 {
             return bad("day".to_owned(), "hosts, nodes, cores and racks must be 1 at least");
         }
-        if day.day.length.ms() < 100.0 || day.day.length.ms() > 600_000.0 {
+        if day.run.length.ms() < 100.0 || day.run.length.ms() > 600_000.0 {
             return bad("day.length".to_owned(), "must lie between 100ms and 10min");
         }
-        for c in &day.client {
+        for c in &day.clients {
             let parts = [c.writes, c.compares, c.flushes, c.large_part, c.aborts];
             if c.rate.is_nan() || !(0.0..=100_000.0).contains(&c.rate) {
                 return bad(format!("client `{}`", c.name), "rate must lie between 0 and 100000");
@@ -267,19 +269,19 @@
                 return bad(format!("client `{}`", c.name), "count, small and large must be 1 at least");
             }
         }
-        if let Some(c) = day.client.iter().find(|c| c.host.is_some_and(|h| h >= day.day.hosts)) {
+        if let Some(c) = day.clients.iter().find(|c| c.host.is_some_and(|h| h >= day.run.hosts)) {
             return bad(format!("client `{}`", c.name), "there is no such host");
         }
-        for (i, e) in day.expect.iter().enumerate() {
+        for (i, e) in day.expectations.iter().enumerate() {
             let sane = (0.0..=10.0).contains(&e.at_least) && e.to.ms() > e.from.ms();
-            if !sane || e.to.ms() > day.day.length.ms() {
+            if !sane || e.to.ms() > day.run.length.ms() {
                 return bad(
                     format!("expect[{i}]"),
                     "from, to and at_least must make sense, and end within the day",
                 );
             }
         }
-        for (i, e) in day.event.iter().enumerate() {
+        for (i, e) in day.events.iter().enumerate() {
             let entry = format!("event[{i}]");
             use EventKind as K;
             let (node, host, client) = match e.what {
@@ -296,10 +298,10 @@
             if e.node.is_some_and(|n| n == 0 || n > u32::from(day.nodes.count)) {
                 return bad(entry, "there is no such node");
             }
-            if e.host.iter().chain(&e.peer).any(|h| *h >= day.day.hosts) {
+            if e.host.iter().chain(&e.peer).any(|h| *h >= day.run.hosts) {
                 return bad(entry, "there is no such host");
             }
-            if e.client.as_ref().is_some_and(|n| day.client.iter().all(|c| c.name != *n)) {
+            if e.client.as_ref().is_some_and(|n| day.clients.iter().all(|c| c.name != *n)) {
                 return bad(entry, "there is no such client");
             }
             let timed = matches!(e.what, K::HostStall | K::StandStill);
@@ -331,7 +333,7 @@
     #[test]
     fn faults_of_a_day_name_their_table() {
         let good = include_str!("../days/bad-day.toml");
-        Day::from_toml(good).unwrap_or_else(|e| panic!("{e}"));
+        Scenario::from_toml(good).unwrap_or_else(|e| panic!("{e}"));
         for (from, to, want) in [
             ("hosts = 2", "hosts = 0", "hosts"),
             ("do = \"hang\"", "do = \"sleep\"", "sleep"),
@@ -341,7 +343,7 @@
             ("writes = 0.4", "writes = 1.4", "parts"),
         ] {
             assert!(good.contains(from), "{from}");
-            let told = Day::from_toml(&good.replacen(from, to, 1)).expect_err(to).to_string();
+            let told = Scenario::from_toml(&good.replacen(from, to, 1)).expect_err(to).to_string();
             assert!(told.contains(want), "{to}: {told}");
         }
     }
--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -1,7 +1,7 @@
 //! What came of a day, for people and for programs.
 
-use crate::expect::Expected;
-use crate::DayResult;
+use crate::expectations::ExpectationResult;
+use crate::RunResult;
 use pearfork_cli::{Mark, Output};
 use pearfork_rulecheck::Report;
 use serde::Serialize;
@@ -10,7 +10,7 @@
 
 /// One rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct RuleLine {
+pub struct RuleSummary {
     /// Its name.
     pub rule: String,
     /// How often there was something to judge.
@@ -27,8 +27,8 @@
 const BREAKS: usize = 3;
 
 /// The findings of a report.
-pub fn rules(report: &Report) -> Vec<RuleLine> {
-    let line = |f: &pearfork_rulecheck::Finding| RuleLine {
+pub fn rule_summaries(report: &Report) -> Vec<RuleSummary> {
+    let line = |f: &pearfork_rulecheck::Finding| RuleSummary {
         rule: f.rule.to_string(),
         checks: f.checks,
         nearest: f.nearest,
@@ -39,7 +39,7 @@
 }
 
 /// The seven rules as a table.
-pub fn rules_table(lines: &[RuleLine], output: Output) -> String {
+pub fn rules_table(lines: &[RuleSummary], output: Output) -> String {
     let mut out = String::new();
     for l in lines {
         let nearest = l.nearest.map_or("-".to_owned(), |n| format!("{:.0} %", n * 100.0));
@@ -59,7 +59,7 @@
 
 /// Answers of all hosts to one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ClassLine {
+pub struct ClassSummary {
     /// The class.
     pub class: String,
     /// Commands taken.
@@ -78,7 +78,7 @@
 
 /// What a kind of client saw.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ClientLine {
+pub struct ClientSummary {
     /// The kind.
     pub client: String,
     /// Requests sent, with tries after a refusal.
@@ -97,7 +97,7 @@
 
 /// Why commands were refused or failed while the same troubles went on.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct DuringLine {
+pub struct FaultPeriodSummary {
     /// The troubles; none on a calm stretch.
     pub troubles: Vec<String>,
     /// For how long in all, seconds.
@@ -110,31 +110,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
     /// Whether all rules were kept, no block was stale, no node fell over, and what was promised came.
-    pub right: bool,
+    #[serde(rename = "right")]
+    pub passed: bool,
     /// Answers by class.
-    pub classes: Vec<ClassLine>,
+    pub classes: Vec<ClassSummary>,
     /// Refusals and failures by what went on, and why.
-    pub during: Vec<DuringLine>,
+    #[serde(rename = "during")]
+    pub fault_periods: Vec<FaultPeriodSummary>,
     /// What clients saw.
-    pub clients: Vec<ClientLine>,
+    pub clients: Vec<ClientSummary>,
     /// What was promised of volumes with a limit, and what came.
-    pub expected: Vec<Expected>,
+    #[serde(rename = "expected")]
+    pub expectations: Vec<ExpectationResult>,
     /// The first stale blocks, in words.
     pub stale: Vec<String>,
     /// Nodes that fell over.
-    pub fallen: Vec<u32>,
+    #[serde(rename = "fallen")]
+    pub collapsed_nodes: Vec<u32>,
     /// The seven rules.
-    pub rules: Vec<RuleLine>,
+    pub rules: Vec<RuleSummary>,
 }
 
 impl Summary {
     /// Sums a day up.
-    pub fn of(r: &DayResult) -> Summary {
+    pub fn new(r: &RunResult) -> Summary {
         let class = |(i, name): (usize, &String)| {
             let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| -> u64 {
                 r.hosts.iter().map(|h| f(&h[i])).sum()
             };
-            ClassLine {
+            ClassSummary {
                 class: name.clone(),
                 taken: sum(|c| c.taken),
                 served: sum(|c| c.served),
@@ -146,7 +150,7 @@
         };
         let client = |(name, t): &(String, pearfork_stand::ClientTally)| {
             let ms = |q| t.times.value_at_quantile(q) as f64 / 1_000.0;
-            ClientLine {
+            ClientSummary {
                 client: name.clone(),
                 sent: t.sent,
                 served: t.served,
@@ -156,28 +160,28 @@
                 stale: t.stale.len(),
             }
         };
-        let during = |d: &crate::During| DuringLine {
+        let during = |d: &crate::FaultPeriod| FaultPeriodSummary {
             troubles: d.troubles.clone(),
             lasted_s: d.lasted.as_secs_f64(),
             reasons: d.reasons.by_reason(|_| true).into_iter().map(|(r, n)| (r.label(), n)).collect(),
         };
         Summary {
-            right: r.rules.kept()
+            passed: r.rules.kept()
                 && r.stale().is_empty()
-                && r.fallen.is_empty()
-                && r.expected.iter().all(|e| e.right),
-            expected: r.expected.clone(),
+                && r.collapsed_nodes.is_empty()
+                && r.expectations.iter().all(|e| e.met),
+            expectations: r.expectations.clone(),
             classes: r.class_names.iter().enumerate().map(class).collect(),
-            during: r.during.iter().map(during).collect(),
+            fault_periods: r.fault_periods.iter().map(during).collect(),
             clients: r.clients.iter().map(client).collect(),
             stale: r.stale().iter().take(5).map(|s| (*s).to_owned()).collect(),
-            fallen: r.fallen.clone(),
-            rules: rules(&r.rules),
+            collapsed_nodes: r.collapsed_nodes.clone(),
+            rules: rule_summaries(&r.rules),
         }
     }
 
     /// In words.
-    pub fn words(&self, output: Output) -> String {
+    pub fn render(&self, output: Output) -> String {
         let mut out = format!(
             "\n{}\n  {:<18} {:>8} {:>8} {:>6} {:>8} {:>7} {:>6}\n",
             output.paint(Mark::Head, "answers of all hosts by class"),
@@ -201,7 +205,7 @@
             "\n{}",
             output.paint(Mark::Head, "refused or failed, by what went on and by reason")
         );
-        for d in self.during.iter().filter(|d| !d.reasons.is_empty()) {
+        for d in self.fault_periods.iter().filter(|d| !d.reasons.is_empty()) {
             let troubles = if d.troubles.is_empty() { "calm".to_owned() } else { d.troubles.join(", ") };
             let mut reasons: Vec<(&&str, &u64)> = d.reasons.iter().collect();
             reasons.sort_by_key(|(_, n)| std::cmp::Reverse(**n));
@@ -216,23 +220,23 @@
                 c.client, c.sent, c.served, c.p50_ms, c.p99_ms, c.proved, c.stale
             );
         }
-        for e in &self.expected {
-            let mark = if e.right { Mark::Good } else { Mark::Bad };
-            let verdict = output.paint(mark, if e.right { "as promised" } else { "NOT AS PROMISED" });
+        for e in &self.expectations {
+            let mark = if e.met { Mark::Good } else { Mark::Bad };
+            let verdict = output.paint(mark, if e.met { "as promised" } else { "NOT AS PROMISED" });
             let _ = writeln!(
                 out,
                 "  {} from {:.1} to {:.1} s: {:.1} % of its limit, {:.1} % at the least: {verdict}",
                 e.volume,
-                e.between_s.0,
-                e.between_s.1,
-                e.came * 100.0,
-                e.wanted.0 * 100.0
+                e.window_s.0,
+                e.window_s.1,
+                e.measured * 100.0,
+                e.bounds.0 * 100.0
             );
         }
         for words in &self.stale {
             let _ = writeln!(out, "  {} {words}", output.paint(Mark::Bad, "STALE"));
         }
-        for node in &self.fallen {
+        for node in &self.collapsed_nodes {
             let _ = writeln!(out, "  {}", output.paint(Mark::Bad, &format!("node {node} fell over")));
         }
         let head = output.paint(Mark::Head, "the seven rules, from what passed over the sockets");
--- a/crates/day/tests/customers.rs
+++ b/crates/day/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Each customer's rules in front of its own short bad day.
 
-use pearfork_day::script::Day;
-use pearfork_day::{play, DayResult};
+use pearfork_day::scenario::Scenario;
+use pearfork_day::{run_scenario, RunResult};
 use pearfork_host::settings::HostSettings;
 use std::path::{Path, PathBuf};
 
@@ -10,11 +10,13 @@
 }
 
 /// Plays the customer's day; every class in `busy` must have had requests.
-fn plays(customer: &str, busy: &[&str]) -> DayResult {
+fn plays(customer: &str, busy: &[&str]) -> RunResult {
     let plan = HostSettings::load(&example("hosts", customer)).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(plan.warnings, Vec::<String>::new());
-    let day = Day::from_toml(&std::fs::read_to_string(example("days", customer)).unwrap()).unwrap();
-    let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
+    let day = Scenario::from_toml(&std::fs::read_to_string(example("days", customer)).unwrap()).unwrap();
+    let result =
+        run_scenario(&day, &plan, &mut pearfork_day::host_runner::InProcessRunner::default(), |_, _| {})
+            .unwrap();
     assert!(result.rules.kept(), "{customer}\n{}", result.rules);
     assert_eq!(result.stale(), Vec::<&str>::new());
     for class in busy {
--- a/crates/day/tests/day.rs
+++ b/crates/day/tests/day.rs
@@ -1,7 +1,7 @@
 //! The scripted bad day, and the same record broken on purpose.
 
-use pearfork_day::script::Day;
-use pearfork_day::{play, DayResult};
+use pearfork_day::scenario::Scenario;
+use pearfork_day::{run_scenario, RunResult};
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::wire::NodeTag;
 use pearfork_rulecheck::{check, Note, Place, Rule, What};
@@ -9,11 +9,11 @@
 const DAY: &str = include_str!("../days/bad-day.toml");
 const HOSTS: &str = include_str!("../days/bad-day-hosts.toml");
 
-fn broken(result: &DayResult, notes: &[Note]) -> Vec<Rule> {
+fn broken(result: &RunResult, notes: &[Note]) -> Vec<Rule> {
     let mut sorted = notes.to_vec();
     sorted.sort_by_key(|n| n.at_us);
     let volume_of = |_: u16, lun: u64| Some((lun >> 48) as u32);
-    let report = check(&sorted, &result.figures, &volume_of);
+    let report = check(&sorted, &result.rule_parameters, &volume_of);
     report.0.iter().filter(|f| !f.broken.is_empty()).map(|f| f.rule).collect()
 }
 
@@ -32,12 +32,14 @@
 
 #[test]
 fn a_bad_day_keeps_the_seven_rules_and_its_record_broken_on_purpose_does_not() {
-    let day = Day::from_toml(DAY).unwrap();
+    let day = Scenario::from_toml(DAY).unwrap();
     let plan = HostSettings::from_toml(HOSTS).unwrap();
-    let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
+    let result =
+        run_scenario(&day, &plan, &mut pearfork_day::host_runner::InProcessRunner::default(), |_, _| {})
+            .unwrap();
     assert!(result.rules.kept(), "\n{}", result.rules);
     assert_eq!(result.stale(), Vec::<&str>::new());
-    assert!(result.fallen.is_empty(), "{:?}", result.fallen);
+    assert!(result.collapsed_nodes.is_empty(), "{:?}", result.collapsed_nodes);
     // The day was bad, and it was a day: all kinds of answers were given, in numbers.
     let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| -> u64 {
         result.hosts.iter().flatten().map(f).sum()
@@ -81,8 +83,8 @@
     let started = What::NodeStarted { node: *node, shard: 0, zone: 0, cold: true, units_per_s: 1.0 };
     cold.insert(0, Note { at_us: 0, what: started });
     assert!(broken(&result, &cold).contains(&Rule::ColdNodes), "a node that was cold and weak");
-    let mut figures = result.figures.clone();
+    let mut figures = result.rule_parameters.clone();
     figures.volumes.iter_mut().for_each(|v| v.limit = Some((1.0, 5.0, 0.0)));
-    let tight = DayResult { figures, ..result };
+    let tight = RunResult { rule_parameters: figures, ..result };
     assert!(broken(&tight, &tight.notes).contains(&Rule::Limits), "limits below what was sent");
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Hosts, nodes and a plain initiator on loopback.
 #![allow(dead_code)]
 
-use pearfork_day::{figures, judge_notes};
+use pearfork_day::{check_notes, rule_parameters};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_iscsi::{Command, CommandDone, InitiatorConfig, Payload};
@@ -64,7 +64,12 @@
     }
 
     pub fn rules(&self) -> Report {
-        judge_notes(&self.recorder.notes(), &self.plan, figures::of_plan(&self.plan, 500.0, 0.0)).report
+        check_notes(
+            &self.recorder.notes(),
+            &self.plan,
+            rule_parameters::from_settings(&self.plan, 500.0, 0.0),
+        )
+        .report
     }
 
     pub fn assert_rules(&self) {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Hosts as processes that divide a limit among them, with troubles between them; the rules proved from the sockets.
 
-use pearfork_day::script::Day;
+use pearfork_day::scenario::Scenario;
 use pearfork_day::summary::Summary;
-use pearfork_day::{play, DayResult};
+use pearfork_day::{run_scenario, RunResult};
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::Rule;
 use pearfork_trial::{Processes, Program};
@@ -14,12 +14,12 @@
 
 const SETTINGS: &str = include_str!("../../trial/days/hosts.toml");
 
-fn played(name: &str, day: &str, clocks: &[(u16, f64)]) -> (Summary, DayResult) {
+fn played(name: &str, day: &str, clocks: &[(u16, f64)]) -> (Summary, RunResult) {
     let _turn = TURN.lock().unwrap_or_else(|e| e.into_inner());
-    let mut day = Day::from_toml(day).unwrap_or_else(|e| panic!("{name}: {e}"));
+    let mut day = Scenario::from_toml(day).unwrap_or_else(|e| panic!("{name}: {e}"));
     // Rules are held to what the sockets saw. How much is served is for machines that nobody shares: here half is enough.
-    day.day.margin = pearfork_host::units::Span::from_ms(1_000.0);
-    for e in day.expect.iter_mut().filter(|e| e.at_least > 0.0) {
+    day.run.margin = pearfork_host::units::Span::from_ms(1_000.0);
+    for e in day.expectations.iter_mut().filter(|e| e.at_least > 0.0) {
         e.at_least = 0.5;
     }
     let plan = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
@@ -30,9 +30,9 @@
         folder: folder.path().to_owned(),
         clocks: clocks.iter().copied().collect(),
     });
-    let result = play(&day, &plan, &mut crew, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
-    let summary = Summary::of(&result);
-    assert!(summary.right, "{name}\n{}{}", summary.words(plain()), logs(folder.path()));
+    let result = run_scenario(&day, &plan, &mut crew, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
+    let summary = Summary::new(&result);
+    assert!(summary.passed, "{name}\n{}{}", summary.render(plain()), logs(folder.path()));
     let limits = result.rules.of(Rule::Limits).unwrap();
     assert!(limits.checks > 100, "{name}: nothing to judge");
     (summary, result)
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,7 +1,7 @@
 //! Judges a recorded day again. The rules are those of `pearfork-rulecheck`, the settings those in the record.
 
-use pearfork_day::judge;
-use pearfork_day::summary::{rules, RuleLine};
+use pearfork_day::check_recording;
+use pearfork_day::summary::{rule_summaries, RuleSummary};
 use pearfork_record::{read, Recording};
 use serde::Serialize;
 use std::fs::File;
@@ -22,7 +22,7 @@
     /// Whether all rules were kept.
     pub kept: bool,
     /// The seven rules.
-    pub rules: Vec<RuleLine>,
+    pub rules: Vec<RuleSummary>,
 }
 
 /// Reads a record file.
@@ -40,13 +40,13 @@
 /// # Errors
 /// Its settings make no plan, in words.
 pub fn replay(recording: &Recording) -> Result<Replayed, String> {
-    let report = judge(recording).map_err(|e| e.to_string())?.report;
+    let report = check_recording(recording).map_err(|e| e.to_string())?.report;
     Ok(Replayed {
         name: recording.head.name.clone(),
         hosts: recording.head.hosts,
         notes: recording.notes.len(),
         whole: recording.whole,
         kept: report.kept(),
-        rules: rules(&report),
+        rules: rule_summaries(&report),
     })
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -27,9 +27,14 @@
     let folder = Folder(std::env::temp_dir().join(format!("pearfork-replay-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
     let plan = pearfork_host::settings::HostSettings::from_toml(pearfork_day::DEMO.1).unwrap();
-    let day = pearfork_day::script::Day::from_toml(DAY).unwrap();
-    let result =
-        pearfork_day::play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
+    let day = pearfork_day::scenario::Scenario::from_toml(DAY).unwrap();
+    let result = pearfork_day::run_scenario(
+        &day,
+        &plan,
+        &mut pearfork_day::host_runner::InProcessRunner::default(),
+        |_, _| {},
+    )
+    .unwrap();
     assert!(result.rules.kept(), "\n{}", result.rules);
     let path = folder.0.join("day.record");
     let file = std::fs::File::create(&path).unwrap();
--- a/crates/report/src/account.rs
+++ b/crates/report/src/account.rs
@@ -1,8 +1,8 @@
 //! What a record tells, counted: by second, class and node, the slowest commands, the seven rules.
 
 use hdrhistogram::Histogram;
-use pearfork_day::summary::{rules, RuleLine};
-use pearfork_day::{judge, Judged};
+use pearfork_day::summary::{rule_summaries, RuleSummary};
+use pearfork_day::{check_recording, RuleCheck};
 use pearfork_record::{Counted, Recording, Said};
 use pearfork_rulecheck::trace::{Command, Trace};
 use serde::Serialize;
@@ -138,7 +138,7 @@
     /// Whether all rules were kept.
     pub kept: bool,
     /// The seven rules.
-    pub rules: Vec<RuleLine>,
+    pub rules: Vec<RuleSummary>,
     /// All commands.
     pub all: Ends,
     /// By second of sending.
@@ -162,8 +162,8 @@
 /// # Errors
 /// Its settings make no plan, in words.
 pub fn account(recording: &Recording) -> Result<Account, String> {
-    let Judged { report, trace, figures } = judge(recording).map_err(|e| e.to_string())?;
-    let name_of = |class: usize| figures.classes.get(class).map_or("?", |c| c.name.as_str()).to_owned();
+    let RuleCheck { report, trace, parameters } = check_recording(recording).map_err(|e| e.to_string())?;
+    let name_of = |class: usize| parameters.classes.get(class).map_or("?", |c| c.name.as_str()).to_owned();
     let mut seconds: BTreeMap<usize, (Ends, Histogram<u64>)> = BTreeMap::new();
     let mut classes: BTreeMap<usize, (Ends, Histogram<u64>)> = BTreeMap::new();
     let mut all = Ends::default();
@@ -206,7 +206,7 @@
         length_s: recording.head.length_ms / 1e3,
         whole: recording.whole,
         kept: report.kept(),
-        rules: rules(&report),
+        rules: rule_summaries(&report),
         all,
         seconds: (0..last).map(by_second).collect(),
         classes: classes
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -1,7 +1,7 @@
 //! A short day with a trouble, told as text and as a page; and a record whose names are not kind to pages.
 
-use pearfork_day::script::Day;
-use pearfork_day::{play, DEMO};
+use pearfork_day::scenario::Scenario;
+use pearfork_day::{run_scenario, DEMO};
 use pearfork_host::settings::HostSettings;
 use pearfork_report::account::{account, Ends};
 use pearfork_report::page;
@@ -12,8 +12,10 @@
 
 #[test]
 fn a_report_counts_what_clients_and_nodes_saw_and_needs_no_network() {
-    let (day, plan) = (Day::from_toml(DAY).unwrap(), HostSettings::from_toml(DEMO.1).unwrap());
-    let result = play(&day, &plan, &mut pearfork_day::crew::InProcess::default(), |_, _| {}).unwrap();
+    let (day, plan) = (Scenario::from_toml(DAY).unwrap(), HostSettings::from_toml(DEMO.1).unwrap());
+    let result =
+        run_scenario(&day, &plan, &mut pearfork_day::host_runner::InProcessRunner::default(), |_, _| {})
+            .unwrap();
     let mut recording = result.recording("a <script>alert(1)</script> day", &day, &plan);
     // Each refusal and failure has its reason, and one only.
     for c in &mut recording.counted {
--- a/crates/trial/src/draw.rs
+++ b/crates/trial/src/draw.rs
@@ -1,6 +1,6 @@
 //! Schedules of troubles drawn from a seed, and the smallest part of one that still breaks something.
 
-use pearfork_day::script::{EventKind, EventTable};
+use pearfork_day::scenario::{EventKind, EventTable};
 use pearfork_host::units::Span;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -2,9 +2,9 @@
 
 use clap::{Parser, Subcommand};
 use pearfork_cli::{Common, Exit, SettingsArguments};
-use pearfork_day::script::Day;
+use pearfork_day::scenario::Scenario;
 use pearfork_day::summary::Summary;
-use pearfork_day::{asked, play};
+use pearfork_day::{load_inputs, run_scenario};
 use pearfork_host::settings::HostSettings;
 use pearfork_trial::{draw, shrink, Processes, Program};
 use serde::Serialize;
@@ -95,35 +95,35 @@
 fn work(a: Arguments) -> Result<Exit, String> {
     match &a.command {
         Command::Play { day, settings } => {
-            let (text, plan) = asked(day, settings)?;
+            let (text, plan) = load_inputs(day, settings)?;
             let settings = plan.provenance.resolved();
-            let script = Day::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
+            let script = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
             let right = one(&a, &day.display().to_string(), &script, &plan, settings, true)?;
             Ok(if right { Exit::Fine } else { Exit::No })
         }
         Command::Demo => {
             let plan = HostSettings::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
-            let script = Day::from_toml(DEMO.0).map_err(|e| e.to_string())?;
+            let script = Scenario::from_toml(DEMO.0).map_err(|e| e.to_string())?;
             let right = one(&a, "demo", &script, &plan, DEMO.1, true)?;
             Ok(if right { Exit::Fine } else { Exit::No })
         }
         Command::Search { day, settings, seed, plays, troubles } => {
-            let (text, plan) = asked(day, settings)?;
+            let (text, plan) = load_inputs(day, settings)?;
             let settings = plan.provenance.resolved();
-            let mut script = Day::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
+            let mut script = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
             let voters = plan.fleet.as_ref().map_or(1, |f| f.voters.len() as u16);
-            script.expect.clear();
+            script.expectations.clear();
             let mut end = Exit::Fine;
             for seed in *seed..seed.saturating_add(*plays) {
-                script.day.seed = seed;
-                script.event = draw(seed, script.day.hosts, voters, script.day.length, *troubles);
+                script.run.seed = seed;
+                script.events = draw(seed, script.run.hosts, voters, script.run.length, *troubles);
                 if one(&a, &format!("seed {seed}"), &script, &plan, settings, false)? {
                     continue;
                 }
                 end = Exit::No;
                 let mut smaller = script.clone();
-                let least = shrink(script.event.clone(), |events| {
-                    smaller.event = events.to_vec();
+                let least = shrink(script.events.clone(), |events| {
+                    smaller.events = events.to_vec();
                     // One that holds once may break the next time: it is left out only where it breaks without.
                     one(&a, "smaller", &smaller, &plan, settings, false).is_ok_and(|right| !right)
                 });
@@ -138,7 +138,7 @@
 fn one(
     a: &Arguments,
     name: &str,
-    day: &Day,
+    day: &Scenario,
     plan: &HostSettings,
     settings: &str,
     loud: bool,
@@ -171,27 +171,27 @@
             output.put(&Progress { at_s: 0.0, words: &words }, &format!("        {words}\n"));
         });
     }
-    let result = play(day, plan, &mut crew, told).map_err(|e| e.to_string())?;
-    let summary = Summary::of(&result);
+    let result = run_scenario(day, plan, &mut crew, told).map_err(|e| e.to_string())?;
+    let summary = Summary::new(&result);
     if loud {
-        output.put(&summary, &summary.words(output));
+        output.put(&summary, &summary.render(output));
     }
     let mut broken: Vec<String> = summary.rules.iter().flat_map(|r| r.words.clone()).collect();
     broken.extend(summary.stale.iter().cloned());
-    broken.extend(summary.fallen.iter().map(|n| format!("node {n} fell over")));
-    broken.extend(summary.expected.iter().filter(|e| !e.right).map(|e| {
+    broken.extend(summary.collapsed_nodes.iter().map(|n| format!("node {n} fell over")));
+    broken.extend(summary.expectations.iter().filter(|e| !e.met).map(|e| {
         format!(
             "{}: {:.1} % of its limit from {} to {} s",
             e.volume,
-            e.came * 100.0,
-            e.between_s.0,
-            e.between_s.1
+            e.measured * 100.0,
+            e.window_s.0,
+            e.window_s.1
         )
     }));
     let nearest = summary.rules.iter().filter_map(|r| Some((r.rule.clone(), r.nearest?))).collect();
     let end = End {
         day: name,
-        seed: day.day.seed,
+        seed: day.run.seed,
         broken,
         nearest,
         served: result.clients.iter().map(|(_, t)| t.served).sum(),
@@ -199,5 +199,5 @@
     };
     let verdict = if end.broken.is_empty() { "all held".to_owned() } else { end.broken.join("\n  ") };
     output.put(&end, &format!("{name}, seed {}: {verdict}\n", end.seed));
-    Ok(summary.right)
+    Ok(summary.passed)
 }
--- a/crates/trial/src/processes.rs
+++ b/crates/trial/src/processes.rs
@@ -1,9 +1,9 @@
 //! Hosts as processes of their own, each with its settings, its folder and its links.
 
 use crate::relay::{Direction, LinkFault, Relay};
-use pearfork_day::crew::{Counts, Crew};
-use pearfork_day::script::{Day, EventKind, EventTable};
-use pearfork_day::DayError;
+use pearfork_day::host_runner::{HostCounts, HostRunner};
+use pearfork_day::scenario::{EventKind, EventTable, Scenario};
+use pearfork_day::RunError;
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
 use pearfork_host::settings::HostSettings;
 use pearfork_net::{free_addresses, http};
@@ -59,8 +59,8 @@
 /// How long one may take for its metrics.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-fn unfit(words: impl Into<String>) -> DayError {
-    DayError::Unfit(words.into())
+fn unfit(words: impl Into<String>) -> RunError {
+    RunError::Invalid(words.into())
 }
 
 impl Processes {
@@ -95,14 +95,14 @@
     fn settings(
         &self,
         number: u16,
-        day: &Day,
+        day: &Scenario,
         directory: SocketAddr,
         voters: &[SocketAddr],
         at: &HostProcess,
-    ) -> Result<String, DayError> {
+    ) -> Result<String, RunError> {
         let mut t: Table = self.program.settings.parse().map_err(|e| unfit(format!("settings: {e}")))?;
         let address = |a: SocketAddr| Value::String(a.to_string());
-        let table = |t: &mut Table, key: &str| -> Result<Table, DayError> {
+        let table = |t: &mut Table, key: &str| -> Result<Table, RunError> {
             match t.remove(key) {
                 Some(Value::Table(inner)) => Ok(inner),
                 None => Ok(Table::new()),
@@ -111,10 +111,10 @@
         };
         let mut host = table(&mut t, "host")?;
         host.insert("number".to_owned(), Value::Integer(i64::from(number)));
-        host.insert("hosts".to_owned(), Value::Integer(i64::from(day.day.hosts)));
+        host.insert("hosts".to_owned(), Value::Integer(i64::from(day.run.hosts)));
         host.insert("listen".to_owned(), address(at.listen));
         host.insert("http".to_owned(), address(at.http));
-        let seed = day.day.seed.wrapping_mul(1_000).wrapping_add(u64::from(number)) & 0xffff_ffff;
+        let seed = day.run.seed.wrapping_mul(1_000).wrapping_add(u64::from(number)) & 0xffff_ffff;
         host.insert("seed".to_owned(), Value::Integer(seed as i64));
         t.insert("host".to_owned(), Value::Table(host));
         let mut dir = table(&mut t, "directory")?;
@@ -149,7 +149,7 @@
         toml::to_string(&t).map_err(|e| unfit(format!("settings: {e}")))
     }
 
-    fn spawn(&mut self, host: u16) -> Result<(), DayError> {
+    fn spawn(&mut self, host: u16) -> Result<(), RunError> {
         let gateway = self.program.gateway.clone();
         let h = &mut self.hosts[usize::from(host)];
         let log = File::options().create(true).append(true).open(&h.log)?;
@@ -173,7 +173,7 @@
     }
 
     /// Waits until a host says that it is well, or at least answers.
-    fn wait_ready(&mut self, host: u16) -> Result<(), DayError> {
+    fn wait_ready(&mut self, host: u16) -> Result<(), RunError> {
         let until = Instant::now() + READY;
         loop {
             let h = &mut self.hosts[usize::from(host)];
@@ -211,29 +211,29 @@
     }
 }
 
-impl Crew for Processes {
+impl HostRunner for Processes {
     fn start(
         &mut self,
-        day: &Day,
+        day: &Scenario,
         plan: &HostSettings,
         directory: SocketAddr,
-    ) -> Result<Vec<SocketAddr>, DayError> {
+    ) -> Result<Vec<SocketAddr>, RunError> {
         self.classes = plan.class_names.clone();
         self.voters = plan.fleet.as_ref().map_or(0, |f| f.voters.len() as u16);
-        if self.voters > day.day.hosts {
-            return Err(unfit(format!("{} voters among {} hosts", self.voters, day.day.hosts)));
+        if self.voters > day.run.hosts {
+            return Err(unfit(format!("{} voters among {} hosts", self.voters, day.run.hosts)));
         }
-        let all = usize::from(day.day.hosts);
+        let all = usize::from(day.run.hosts);
         let addresses = free_addresses(2 * all + usize::from(self.voters))?;
         let voters = addresses[2 * all..].to_vec();
-        for number in 0..day.day.hosts {
+        for number in 0..day.run.hosts {
             for voter in (0..self.voters).filter(|v| *v != number) {
-                let seed = day.day.seed.wrapping_mul(65_537) ^ u64::from(number) << 16 ^ u64::from(voter);
+                let seed = day.run.seed.wrapping_mul(65_537) ^ u64::from(number) << 16 ^ u64::from(voter);
                 let relay = Relay::start(voters[usize::from(voter)], seed)?;
                 self.relays.insert((number, voter), relay);
             }
         }
-        for number in 0..day.day.hosts {
+        for number in 0..day.run.hosts {
             let folder = self.program.folder.join(format!("host-{number}"));
             std::fs::create_dir_all(&folder)?;
             let i = usize::from(number);
@@ -252,14 +252,14 @@
             self.hosts.push(process);
             self.spawn(number)?;
         }
-        for number in 0..day.day.hosts {
+        for number in 0..day.run.hosts {
             self.wait_ready(number)?;
             (self.told)(number, self.hosts[usize::from(number)].http);
         }
         Ok(self.hosts.iter().map(|h| h.listen).collect())
     }
 
-    fn restart(&mut self, host: u16) -> Result<(), DayError> {
+    fn restart(&mut self, host: u16) -> Result<(), RunError> {
         if let Some(child) = &mut self.hosts[usize::from(host)].child {
             // One that was asked to end may still be at it; two under one name are a trouble of their own.
             let until = Instant::now() + END;
@@ -288,7 +288,7 @@
         }
     }
 
-    fn counts(&self, host: u16) -> Option<Counts> {
+    fn counts(&self, host: u16) -> Option<HostCounts> {
         let h =
             self.hosts.get(usize::from(host)).filter(|h| h.child.is_some() && h.stopped_until.is_none())?;
         let (status, body) = http::get(h.http, "/metrics", PATIENCE).ok()?;
@@ -313,7 +313,7 @@
         Some((self.classes.iter().map(of).collect(), ReasonCounts::default()))
     }
 
-    fn trouble(&mut self, e: &EventTable, begins: bool) -> Result<(), DayError> {
+    fn set_fault(&mut self, e: &EventTable, begins: bool) -> Result<(), RunError> {
         let (host, peer) = (e.host.unwrap_or(0), e.peer);
         let times = e.times.unwrap_or(0.0);
         let to = |b: u16| peer.is_none_or(|p| p == b);
