--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Test environment of `pearfork_host`: hosts, fake nodes and an initiator in one process, on loopback.
 #![allow(dead_code)]
 
-use pearfork_day::{figures, judge_notes};
+use pearfork_day::{check_notes, rule_parameters};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
@@ -71,8 +71,12 @@
 
     /// Checks the rules against the recorded traffic.
     pub fn check_rules(&self) -> Report {
-        judge_notes(&self.recorder.events(), &self.settings, figures::of_plan(&self.settings, 500.0, 0.0))
-            .report
+        check_notes(
+            &self.recorder.events(),
+            &self.settings,
+            rule_parameters::from_settings(&self.settings, 500.0, 0.0),
+        )
+        .report
     }
 
     pub fn assert_rules_kept(&self) {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Host processes that share a limit among them while faults are injected; the rules are checked against the
 //! traffic on their sockets.
 
-use pearfork_day::script::Day;
+use pearfork_day::scenario::Scenario;
 use pearfork_day::summary::Summary;
-use pearfork_day::{play, DayResult};
+use pearfork_day::{run_scenario, RunResult};
 use pearfork_host::settings::HostSettings;
 use pearfork_rulecheck::Rule;
 use pearfork_trial::{HostProcesses, ProcessConfig};
@@ -17,12 +17,12 @@
 
 /// Runs a scenario file and asserts that no rule is broken. `clocks` holds the clock rate of hosts whose
 /// clock is wrong.
-fn run_scenario(name: &str, scenario: &str, clocks: &[(u16, f64)]) -> (Summary, DayResult) {
+fn run_scenario(name: &str, scenario: &str, clocks: &[(u16, f64)]) -> (Summary, RunResult) {
     let _lock = RUN_LOCK.lock().unwrap_or_else(|e| e.into_inner());
-    let mut scenario = Day::from_toml(scenario).unwrap_or_else(|e| panic!("{name}: {e}"));
+    let mut scenario = Scenario::from_toml(scenario).unwrap_or_else(|e| panic!("{name}: {e}"));
     // The rules are checked in full. How much is served depends on the load of the machine: half is required.
-    scenario.day.margin = pearfork_host::units::Span::from_ms(1_000.0);
-    for e in scenario.expect.iter_mut().filter(|e| e.at_least > 0.0) {
+    scenario.run.margin = pearfork_host::units::Span::from_ms(1_000.0);
+    for e in scenario.expectations.iter_mut().filter(|e| e.at_least > 0.0) {
         e.at_least = 0.5;
     }
     let host_settings = HostSettings::from_toml(SETTINGS).unwrap_or_else(|e| panic!("{e}"));
@@ -33,10 +33,10 @@
         folder: folder.path().to_owned(),
         clocks: clocks.iter().copied().collect(),
     });
-    let result =
-        play(&scenario, &host_settings, &mut processes, |_, _| {}).unwrap_or_else(|e| panic!("{name}: {e}"));
-    let summary = Summary::of(&result);
-    assert!(summary.right, "{name}\n{}{}", summary.words(plain_output()), host_warnings(folder.path()));
+    let result = run_scenario(&scenario, &host_settings, &mut processes, |_, _| {})
+        .unwrap_or_else(|e| panic!("{name}: {e}"));
+    let summary = Summary::new(&result);
+    assert!(summary.passed, "{name}\n{}{}", summary.render(plain_output()), host_warnings(folder.path()));
     let limits = result.rules.finding(Rule::Limits).unwrap();
     assert!(limits.checks > 100, "{name}: too few checks of the limits");
     (summary, result)
