--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -17,7 +17,7 @@
 
 /// Runs a scenario file and asserts that no rule is broken. `clocks` holds the clock rate of hosts whose
 /// clock is wrong.
-fn run_scenario(name: &str, scenario: &str, clocks: &[(u16, f64)]) -> (Summary, RunResult) {
+fn run_fleet_scenario(name: &str, scenario: &str, clocks: &[(u16, f64)]) -> (Summary, RunResult) {
     let _lock = RUN_LOCK.lock().unwrap_or_else(|e| e.into_inner());
     let mut scenario = Scenario::from_toml(scenario).unwrap_or_else(|e| panic!("{name}: {e}"));
     // The rules are checked in full. How much is served depends on the load of the machine: half is required.
@@ -59,30 +59,30 @@
 
 #[test]
 fn the_shares_of_a_limit_follow_its_load_from_host_to_host() {
-    run_scenario("moves", include_str!("../../trial/days/moves.toml"), &[]);
+    run_fleet_scenario("moves", include_str!("../../trial/days/moves.toml"), &[]);
 }
 
 #[test]
 fn the_shares_of_dead_hosts_are_lent_again_and_never_twice() {
-    run_scenario("deaths", include_str!("../../trial/days/deaths.toml"), &[]);
+    run_fleet_scenario("deaths", include_str!("../../trial/days/deaths.toml"), &[]);
 }
 
 #[test]
 fn network_partitions_lend_no_share_twice() {
-    run_scenario("cuts", include_str!("../../trial/days/cuts.toml"), &[]);
+    run_fleet_scenario("cuts", include_str!("../../trial/days/cuts.toml"), &[]);
 }
 
 #[test]
 fn suspended_processes_send_nothing_under_expired_leases() {
-    run_scenario("stops", include_str!("../../trial/days/stops.toml"), &[(4, 1.2), (6, 0.9)]);
+    run_fleet_scenario("stops", include_str!("../../trial/days/stops.toml"), &[(4, 1.2), (6, 0.9)]);
 }
 
 #[test]
 fn voters_with_failed_disks_stop_lending_and_continue_to_serve() {
-    run_scenario("disks", include_str!("../../trial/days/disks.toml"), &[]);
+    run_fleet_scenario("disks", include_str!("../../trial/days/disks.toml"), &[]);
 }
 
 #[test]
 fn without_voters_hosts_keep_their_floors() {
-    run_scenario("nobody votes", include_str!("../../trial/days/nobody-votes.toml"), &[]);
+    run_fleet_scenario("nobody votes", include_str!("../../trial/days/nobody-votes.toml"), &[]);
 }
