--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -35,7 +35,7 @@
 }
 
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut instances: BTreeMap<u16, (Scheduler, pearfork_site::Fields)> = BTreeMap::new();
+    let mut instances: BTreeMap<u16, (Scheduler, pearfork_site::LoadReportFields)> = BTreeMap::new();
     let (mut body, mut actions) = (Vec::new(), Vec::<Action>::new());
     while let Some(count) = read_frame(input, &mut body)? {
         let mut batch = wire::Batch::parse(&body, count)?;
@@ -43,7 +43,7 @@
         while let Some(record) = batch.next_record()? {
             let instance = record.instance;
             match record.decode(instances.get(&instance).map(|i| &i.1))? {
-                Input::Boot { seed, params } => match pearfork_site::read(&params) {
+                Input::Boot { seed, params } => match pearfork_site::parse(&params) {
                     Ok((settings, fields)) => match Scheduler::new(settings, seed) {
                         Ok(scheduler) => {
                             instances.insert(instance, (scheduler, fields));
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use pearfork::{Action, AttemptOutcome, AttemptResult, Event, ListKind, NodeEntry, NodeState, Request};
 
-use pearfork_site::Fields;
+use pearfork_site::LoadReportFields;
 
 /// Reads the fields of a record or frame.
 struct Cursor<'a> {
@@ -125,7 +125,7 @@
 }
 
 impl Record<'_> {
-    pub fn decode(mut self, fields: Option<&Fields>) -> Result<Input, String> {
+    pub fn decode(mut self, fields: Option<&LoadReportFields>) -> Result<Input, String> {
         let c = &mut self.cursor;
         let event = match self.code {
             1080 => {
@@ -218,7 +218,7 @@
                 let other_hosts_units = f64::from(c.u16()?);
                 let n = c.u8()? as usize;
                 let report = (0..n).map(|_| c.f32().map(f64::from)).collect::<Result<Vec<_>, _>>()?;
-                let reported = |at: fn(&Fields) -> Option<usize>| {
+                let reported = |at: fn(&LoadReportFields) -> Option<usize>| {
                     fields.and_then(at).and_then(|i| report.get(i)).copied()
                 };
                 let used_percent = (used > 0).then(|| f64::from(used - 1));
--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -23,15 +23,17 @@
 
 /// What came of a file.
 #[derive(Clone, Debug, Serialize)]
-pub struct Verdict {
+pub struct FileCheck {
     /// Its path.
     pub file: String,
     /// What it was taken for; `None` where it could not be read.
     pub kind: Option<Kind>,
     /// Whether a host would start by it, or use it.
-    pub right: bool,
+    #[serde(rename = "right")]
+    pub valid: bool,
     /// All faults in words, where it is not.
-    pub faults: String,
+    #[serde(rename = "faults")]
+    pub errors: String,
     /// What its writer is to be told all the same.
     pub warnings: Vec<String>,
     /// What there is to know of it.
@@ -41,25 +43,25 @@
 }
 
 /// Checks a file of any kind: `.rules` are matching rules, TOML with a `[day]` is a day, all else settings.
-pub fn file(path: &Path) -> Verdict {
-    file_with(path, &Overrides::default())
+pub fn check_file(path: &Path) -> FileCheck {
+    check_file_with(path, &Overrides::default())
 }
 
 /// The same with variables and flags over settings files.
-pub fn file_with(path: &Path, over: &Overrides) -> Verdict {
+pub fn check_file_with(path: &Path, over: &Overrides) -> FileCheck {
     let name = path.display().to_string();
-    let verdict = |kind, faults: String, warnings, summary: String| Verdict {
+    let check = |kind, errors: String, warnings, summary: String| FileCheck {
         file: name.clone(),
         kind,
-        right: faults.is_empty(),
-        faults,
+        valid: errors.is_empty(),
+        errors,
         warnings,
         summary,
         fingerprint: None,
     };
     let text = match std::fs::read(path) {
         Ok(text) => text,
-        Err(e) => return verdict(None, format!("{name}: {e}"), Vec::new(), String::new()),
+        Err(e) => return check(None, format!("{name}: {e}"), Vec::new(), String::new()),
     };
     if path.extension().is_some_and(|e| e == "rules") {
         return match Rules::compile(&text) {
@@ -67,11 +69,11 @@
                 let told = rules.warnings();
                 let words = told.render(&name, &text, Severity::Warning);
                 let warnings = if told.0.is_empty() { Vec::new() } else { vec![words] };
-                verdict(Some(Kind::Rules), String::new(), warnings, of_rules(&rules))
+                check(Some(Kind::Rules), String::new(), warnings, of_rules(&rules))
             }
-            Err(faults) => verdict(
+            Err(errors) => check(
                 Some(Kind::Rules),
-                faults.render(&name, &text, Severity::Error),
+                errors.render(&name, &text, Severity::Error),
                 Vec::new(),
                 String::new(),
             ),
@@ -83,11 +85,11 @@
         .is_some_and(|t| t.contains_key("day") && !t.contains_key("host"));
     if is_day {
         let told = Scenario::from_toml(&String::from_utf8_lossy(&text));
-        let faults = told.as_ref().err().map_or(String::new(), |e| format!("{name}: {e}"));
+        let errors = told.as_ref().err().map_or(String::new(), |e| format!("{name}: {e}"));
         let summary = told.map_or(String::new(), |d| {
             format!("{} events, {} kinds of clients", d.events.len(), d.clients.len())
         });
-        return verdict(Some(Kind::Day), faults, Vec::new(), summary);
+        return check(Some(Kind::Day), errors, Vec::new(), summary);
     }
     match HostSettings::load_with(path, over) {
         Ok(plan) => {
@@ -100,9 +102,9 @@
                 plan.provenance.fingerprint()
             );
             let fingerprint = Some(plan.provenance.fingerprint());
-            Verdict { fingerprint, ..verdict(Some(Kind::Settings), String::new(), plan.warnings, summary) }
+            FileCheck { fingerprint, ..check(Some(Kind::Settings), String::new(), plan.warnings, summary) }
         }
-        Err(faults) => verdict(Some(Kind::Settings), faults.to_string(), Vec::new(), String::new()),
+        Err(errors) => check(Some(Kind::Settings), errors.to_string(), Vec::new(), String::new()),
     }
 }
 
--- a/crates/check/src/main.rs
+++ b/crates/check/src/main.rs
@@ -1,8 +1,8 @@
 //! `pearfork-check`: checks files, explains values and what a request would get, migrates settings, formats rules.
 
 use clap::{Parser, Subcommand};
-use pearfork_check::{file_with, request};
-use pearfork_cli::{Common, Exit, Mark, Output, SettingsArguments};
+use pearfork_check::{check_file_with, request};
+use pearfork_cli::{CommonArguments, Exit, Highlight, Output, SettingsArguments};
 use pearfork_host::settings::HostSettings;
 use pearfork_match::Severity;
 use serde::Serialize;
@@ -15,13 +15,13 @@
 #[command(name = "pearfork-check", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     #[command(subcommand)]
     command: Command,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -93,26 +93,31 @@
 }
 
 fn load(settings: &SettingsArguments) -> Result<HostSettings, String> {
-    HostSettings::load_with(&settings.config, &settings.over())
+    HostSettings::load_with(&settings.config, &settings.overrides())
         .map_err(|e| format!("the settings are refused\n{e}"))
 }
 
 fn check(files: &[PathBuf], set: Vec<String>, output: Output) -> Exit {
-    let over = pearfork_cli::over(set);
-    let mut end = Exit::Fine;
+    let over = pearfork_cli::overrides(set);
+    let mut end = Exit::Success;
     for path in files {
-        let v = file_with(path, &over);
+        let v = check_file_with(path, &over);
         let warnings: String = v.warnings.iter().map(|w| format!("{w}\n")).collect();
-        let words = if v.right {
-            format!("{}: {}; {}\n{warnings}", v.file, output.paint(Mark::Good, "right"), v.summary)
+        let words = if v.valid {
+            format!(
+                "{}: {}; {}\n{warnings}",
+                v.file,
+                output.highlight(Highlight::Success, "right"),
+                v.summary
+            )
         } else {
-            format!("{}: {}\n{}\n", v.file, output.paint(Mark::Bad, "refused"), v.faults)
+            format!("{}: {}\n{}\n", v.file, output.highlight(Highlight::Error, "refused"), v.errors)
         };
-        output.put(&v, &words);
-        let own = match (v.right, v.kind) {
-            (true, _) => Exit::Fine,
-            (false, Some(_)) => Exit::No,
-            (false, None) => Exit::Unusable,
+        output.print(&v, &words);
+        let own = match (v.valid, v.kind) {
+            (true, _) => Exit::Success,
+            (false, Some(_)) => Exit::Negative,
+            (false, None) => Exit::Error,
         };
         end = end.max(own);
     }
@@ -125,15 +130,15 @@
         Ok(found) => found,
         Err(unknown) => {
             eprintln!("pearfork-check: {unknown}");
-            return Ok(Exit::No);
+            return Ok(Exit::Negative);
         }
     };
     for e in &found {
         let hidden = |(origin, value): &(_, String)| format!("    hides {value} of {origin}\n");
         let hides: String = e.hides.iter().map(hidden).collect();
-        output.put(e, &format!("{} = {}  ({})\n{hides}", e.key, e.value, e.origin));
+        output.print(e, &format!("{} = {}  ({})\n{hides}", e.key, e.value, e.origin));
     }
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
 #[derive(Serialize)]
@@ -148,15 +153,15 @@
     let p = &plan.provenance;
     let (files, fingerprint, settings) = (p.files(), p.fingerprint(), p.resolved());
     let words = format!("# of {}; fingerprint {fingerprint}\n{settings}", files.join(", "));
-    output.put(&Resolved { files, fingerprint, settings }, &words);
-    Ok(Exit::Fine)
+    output.print(&Resolved { files, fingerprint, settings }, &words);
+    Ok(Exit::Success)
 }
 
 fn request(settings: &SettingsArguments, asked: &request::Asked, output: Output) -> Result<Exit, String> {
     let plan = load(settings)?;
     let answer = request::explain(&plan, asked)?;
-    output.put(&answer, &answer.words);
-    Ok(Exit::Fine)
+    output.print(&answer, &answer.words);
+    Ok(Exit::Success)
 }
 
 #[derive(Serialize)]
@@ -172,7 +177,7 @@
     output: Output,
     anew: impl Fn(&str, &[u8]) -> Result<Option<String>, String>,
 ) -> Result<Exit, String> {
-    let mut end = Exit::Fine;
+    let mut end = Exit::Success;
     for path in files {
         let name = path.display().to_string();
         let text = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
@@ -183,9 +188,9 @@
             (true, true) => format!("{name} would change\n"),
             (true, false) => format!("{name} written anew\n"),
         };
-        output.put(&Rewritten { file: &name, changes }, &words);
+        output.print(&Rewritten { file: &name, changes }, &words);
         match written {
-            Some(_) if check => end = Exit::No,
+            Some(_) if check => end = Exit::Negative,
             Some(written) => replace(path, &written).map_err(|e| format!("{name}: {e}"))?,
             None => {}
         }
--- a/crates/cli/src/generate.rs
+++ b/crates/cli/src/generate.rs
@@ -8,17 +8,17 @@
     let mut out = Vec::new();
     if what == "man" {
         if page(command.clone(), &mut out).is_err() {
-            return Exit::Unusable;
+            return Exit::Error;
         }
     } else if let Ok(shell) = what.parse::<Shell>() {
         let name = command.get_name().to_owned();
         clap_complete::generate(shell, command, name, &mut out);
     } else {
         eprintln!("`{what}` is none of man, bash, zsh, fish, elvish, powershell");
-        return Exit::Unusable;
+        return Exit::Error;
     }
     let _ = std::io::stdout().write_all(&out);
-    Exit::Fine
+    Exit::Success
 }
 
 /// The page of the program, and after it those of its sub-commands: who looks for a flag at night has one page to search.
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -4,7 +4,7 @@
 mod generate;
 mod output;
 
-pub use output::{Color, Mark, Output};
+pub use output::{Color, Highlight, Output};
 
 use clap::{CommandFactory, Parser, ValueEnum};
 use pearfork_layers::Overrides;
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exit {
     /// All is well.
-    Fine = 0,
+    Success = 0,
     /// What was asked for was done, and its answer is no: a file is refused, a rule broken, a block wrong.
-    No = 1,
+    Negative = 1,
     /// It could not be done: bad arguments, a file that can't be read, a port that is taken.
-    Unusable = 2,
+    Error = 2,
 }
 
 impl From<Exit> for ExitCode {
@@ -30,13 +30,13 @@
 
 /// Flags that every program has.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Common {
+pub struct CommonArguments {
     /// Where results go.
     #[command(flatten)]
     pub output: Output,
     /// Form of the log on standard error.
-    #[arg(long, value_enum, default_value_t = LogForm::Text, global = true)]
-    pub log: LogForm,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
+    pub log: LogFormat,
     /// What is logged: a level, or filters such as `pearfork_host=debug`.
     #[arg(long, default_value = "warn", global = true)]
     pub log_filter: String,
@@ -44,14 +44,14 @@
 
 /// Form of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum LogForm {
+pub enum LogFormat {
     /// Lines for people.
     Text,
     /// JSON, a line each.
     Json,
 }
 
-impl Common {
+impl CommonArguments {
     /// Begins to log to standard error.
     ///
     /// # Errors
@@ -63,12 +63,12 @@
             .with_writer(std::io::stderr)
             // Told of on the same standard error, a line that can't be written would end the thread that logs it.
             .log_internal_errors(false)
-            .with_ansi(self.output.paints(std::io::IsTerminal::is_terminal(&std::io::stderr())))
+            .with_ansi(self.output.uses_color(std::io::IsTerminal::is_terminal(&std::io::stderr())))
             .with_env_filter(filter);
         // A log that was begun before is the caller's own.
         let _ = match self.log {
-            LogForm::Text => log.try_init(),
-            LogForm::Json => log.json().try_init(),
+            LogFormat::Text => log.try_init(),
+            LogFormat::Json => log.json().try_init(),
         };
         Ok(())
     }
@@ -86,27 +86,27 @@
 }
 
 /// Variables of the environment that settings are taken from begin so.
-pub const VARIABLES: &str = "PEARFORK__";
+pub const VARIABLE_PREFIX: &str = "PEARFORK__";
 
 impl SettingsArguments {
     /// What goes over the file.
-    pub fn over(&self) -> Overrides {
-        over(self.set.clone())
+    pub fn overrides(&self) -> Overrides {
+        overrides(self.set.clone())
     }
 }
 
 /// The variables of this process, and flags over them.
-pub fn over(set: Vec<String>) -> Overrides {
+pub fn overrides(set: Vec<String>) -> Overrides {
     let variables = std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.to_string_lossy().into_owned())))
-        .filter(|(name, _)| name.starts_with(VARIABLES));
+        .filter(|(name, _)| name.starts_with(VARIABLE_PREFIX));
     Overrides::new(variables.collect(), set)
 }
 
 /// Runs a program: parses its arguments, begins to log, does the work, and ends as that did; what went wrong goes to
 /// standard error under the program's name. `--generate man` prints its man page instead, `--generate
 /// bash|zsh|fish|elvish|powershell` its completions.
-pub fn run<P: Parser + CommandFactory + AsRef<Common>>(
+pub fn run<P: Parser + CommandFactory + AsRef<CommonArguments>>(
     work: impl FnOnce(P) -> Result<Exit, String>,
 ) -> ExitCode {
     let arguments: Vec<String> = std::env::args_os().map(|a| a.to_string_lossy().into_owned()).collect();
@@ -119,11 +119,11 @@
     let end = match parsed.as_ref().start_log() {
         Ok(()) => work(parsed).unwrap_or_else(|e| {
             eprintln!("{}: {e}", P::command().get_name());
-            Exit::Unusable
+            Exit::Error
         }),
         Err(e) => {
             eprintln!("{e}");
-            Exit::Unusable
+            Exit::Error
         }
     };
     end.into()
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -29,15 +29,15 @@
 
 /// What a word tells, for its paint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum Highlight {
     /// All is well.
-    Good,
+    Success,
     /// Something is wrong.
-    Bad,
+    Error,
     /// Worth a look.
-    Look,
+    Warning,
     /// A heading.
-    Head,
+    Heading,
 }
 
 impl Output {
@@ -47,7 +47,7 @@
     }
 
     /// Prints a line of JSON, or words. A reader that has gone away is no fault of ours.
-    pub fn put(self, value: &impl Serialize, words: &str) {
+    pub fn print(self, value: &impl Serialize, words: &str) {
         let mut out = std::io::stdout().lock();
         let _ = if self.is_json() {
             writeln!(out, "{}", serde_json::to_string(value).unwrap_or_default())
@@ -58,7 +58,7 @@
     }
 
     /// Whether a stream that is a terminal, or is none, gets paint.
-    pub fn paints(self, terminal: bool) -> bool {
+    pub fn uses_color(self, terminal: bool) -> bool {
         match self.color {
             Color::Always => true,
             Color::Never => false,
@@ -67,15 +67,15 @@
     }
 
     /// The word, painted where standard output gets paint.
-    pub fn paint(self, mark: Mark, word: &str) -> String {
-        if !self.paints(std::io::stdout().is_terminal()) {
+    pub fn highlight(self, highlight: Highlight, word: &str) -> String {
+        if !self.uses_color(std::io::stdout().is_terminal()) {
             return word.to_owned();
         }
-        let style = match mark {
-            Mark::Good => Style::new().fg_color(Some(AnsiColor::Green.into())),
-            Mark::Bad => Style::new().bold().fg_color(Some(AnsiColor::Red.into())),
-            Mark::Look => Style::new().fg_color(Some(AnsiColor::Yellow.into())),
-            Mark::Head => Style::new().bold(),
+        let style = match highlight {
+            Highlight::Success => Style::new().fg_color(Some(AnsiColor::Green.into())),
+            Highlight::Error => Style::new().bold().fg_color(Some(AnsiColor::Red.into())),
+            Highlight::Warning => Style::new().fg_color(Some(AnsiColor::Yellow.into())),
+            Highlight::Heading => Style::new().bold(),
         };
         format!("{style}{word}{style:#}")
     }
@@ -88,9 +88,9 @@
     #[test]
     fn paint_is_for_those_who_want_it() {
         let output = |color| Output { json: None, color };
-        assert_eq!(output(Color::Never).paint(Mark::Bad, "broken"), "broken");
-        let painted = output(Color::Always).paint(Mark::Bad, "broken");
+        assert_eq!(output(Color::Never).highlight(Highlight::Error, "broken"), "broken");
+        let painted = output(Color::Always).highlight(Highlight::Error, "broken");
         assert!(painted.starts_with('\u{1b}') && painted.contains("broken") && painted.ends_with('m'));
-        assert!(!output(Color::Auto).paints(false));
+        assert!(!output(Color::Auto).uses_color(false));
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,7 +1,7 @@
 //! `pearfork-ctl`: asks running hosts how they are, or to drain.
 
 use clap::Parser;
-use pearfork_cli::{Common, Exit, Mark};
+use pearfork_cli::{CommonArguments, Exit, Highlight};
 use pearfork_ctl::fleet::{look, Topic};
 use pearfork_ctl::{ask, drain, table, Question, Told};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 #[command(name = "pearfork-ctl", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// What is asked.
     question: Question,
     /// Of `fleet`: `members`, `budgets`, or `why` and a volume.
@@ -28,8 +28,8 @@
     wait: u64,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -55,7 +55,7 @@
         return Err(format!("`{word}` makes no sense after this question"));
     }
     let output = a.common.output;
-    let mut end = Exit::Fine;
+    let mut end = Exit::Success;
     for host in &hosts {
         let told = match a.question {
             Question::Drain => drain(*host, Duration::from_secs(a.wait), PATIENCE),
@@ -64,22 +64,24 @@
         let head = if hosts.len() > 1 { format!("{host}\n") } else { String::new() };
         let (own, words, value) = match &told {
             Told::Rows(rows) => {
-                (Exit::Fine, table::lay_out(rows), serde_json::json!({"host": host, "rows": rows}))
+                (Exit::Success, table::lay_out(rows), serde_json::json!({"host": host, "rows": rows}))
+            }
+            Told::Words(w) => {
+                (Exit::Success, format!("{w}\n"), serde_json::json!({"host": host, "words": w}))
             }
-            Told::Words(w) => (Exit::Fine, format!("{w}\n"), serde_json::json!({"host": host, "words": w})),
             Told::Ill(w) => {
-                let words = format!("{} {w}\n", output.paint(Mark::Bad, "ill:"));
-                (Exit::No, words, serde_json::json!({"host": host, "ill": w}))
+                let words = format!("{} {w}\n", output.highlight(Highlight::Error, "ill:"));
+                (Exit::Negative, words, serde_json::json!({"host": host, "ill": w}))
             }
             Told::Silent(w) => {
-                let words = format!("{} {w}\n", output.paint(Mark::Bad, "silent:"));
-                (Exit::Unusable, words, serde_json::json!({"host": host, "silent": w}))
+                let words = format!("{} {w}\n", output.highlight(Highlight::Error, "silent:"));
+                (Exit::Error, words, serde_json::json!({"host": host, "silent": w}))
             }
         };
-        output.put(&value, &(head + &words));
+        output.print(&value, &(head + &words));
         end = end.max(own);
         // One that would not drain leaves the others running: draining a whole fleet at once is nobody's wish.
-        if a.question == Question::Drain && own != Exit::Fine {
+        if a.question == Question::Drain && own != Exit::Success {
             break;
         }
     }
@@ -96,17 +98,17 @@
     };
     let output = a.common.output;
     let mut views = Vec::new();
-    let mut end = Exit::Fine;
+    let mut end = Exit::Success;
     for host in hosts {
         match ask(*host, Question::Fleet, PATIENCE) {
             Told::Rows(rows) => views.extend(rows),
             Told::Words(w) | Told::Ill(w) => {
-                eprintln!("{host}: {} {w}", output.paint(Mark::Bad, "ill:"));
-                end = end.max(Exit::No);
+                eprintln!("{host}: {} {w}", output.highlight(Highlight::Error, "ill:"));
+                end = end.max(Exit::Negative);
             }
             Told::Silent(w) => {
-                eprintln!("{host}: {} {w}", output.paint(Mark::Bad, "silent:"));
-                end = end.max(Exit::Unusable);
+                eprintln!("{host}: {} {w}", output.highlight(Highlight::Error, "silent:"));
+                end = end.max(Exit::Error);
             }
         }
     }
@@ -115,7 +117,7 @@
     seen.words.iter().for_each(|w| words += &format!("{w}\n"));
     seen.disagree
         .iter()
-        .for_each(|w| words += &format!("{} {w}\n", output.paint(Mark::Bad, "disagreement:")));
-    output.put(&seen, &words);
-    Ok(if seen.disagree.is_empty() { end } else { end.max(Exit::No) })
+        .for_each(|w| words += &format!("{} {w}\n", output.highlight(Highlight::Error, "disagreement:")));
+    output.print(&seen, &words);
+    Ok(if seen.disagree.is_empty() { end } else { end.max(Exit::Negative) })
 }
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -29,7 +29,7 @@
 /// A file that can't be read, or settings that are refused, in words.
 pub fn load_inputs(day: &Path, settings: &SettingsArguments) -> Result<(String, HostSettings), String> {
     let text = std::fs::read_to_string(day).map_err(|e| format!("{}: {e}", day.display()))?;
-    let plan = HostSettings::load_with(&settings.config, &settings.over())
+    let plan = HostSettings::load_with(&settings.config, &settings.overrides())
         .map_err(|e| format!("the settings are refused\n{e}"))?;
     plan.warnings.iter().for_each(|w| eprintln!("{w}"));
     Ok((text, plan))
--- a/crates/day/src/main.rs
+++ b/crates/day/src/main.rs
@@ -1,7 +1,7 @@
 //! `pearfork-day`: plays a scripted day on loopback, records it, and proves the seven rules.
 
 use clap::{Parser, Subcommand};
-use pearfork_cli::{Common, Exit, SettingsArguments};
+use pearfork_cli::{CommonArguments, Exit, SettingsArguments};
 use pearfork_day::host_runner::InProcessRunner;
 use pearfork_day::scenario::Scenario;
 use pearfork_day::summary::Summary;
@@ -18,13 +18,13 @@
 #[command(name = "pearfork-day", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     #[command(subcommand)]
     command: Command,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -76,7 +76,7 @@
     day: &str,
     plan: &HostSettings,
     record: Option<&Path>,
-    common: &Common,
+    common: &CommonArguments,
 ) -> Result<Exit, String> {
     let output = common.output;
     let day = Scenario::from_toml(day).map_err(|e| format!("{name}: {e}"))?;
@@ -86,7 +86,7 @@
         .transpose()?;
     let told = |at: Duration, words: &str| {
         let at_s = at.as_secs_f64();
-        output.put(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
+        output.print(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
     };
     told(
         Duration::ZERO,
@@ -102,11 +102,11 @@
     let result =
         run_scenario(&day, plan, &mut InProcessRunner::default(), told).map_err(|e| e.to_string())?;
     let summary = Summary::new(&result);
-    output.put(&summary, &summary.render(output));
+    output.print(&summary, &summary.render(output));
     if let (Some(file), Some(path)) = (file, record) {
         let recording = result.recording(name, &day, plan);
         pearfork_record::write(std::io::BufWriter::new(file), &recording)
             .map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    Ok(if summary.passed { Exit::Fine } else { Exit::No })
+    Ok(if summary.passed { Exit::Success } else { Exit::Negative })
 }
--- a/crates/day/src/rule_check.rs
+++ b/crates/day/src/rule_check.rs
@@ -41,7 +41,8 @@
 /// # Errors
 /// They make no plan.
 pub fn check_recording(recording: &Recording) -> Result<RuleCheck, RuleCheckError> {
-    let plan = HostSettings::from_toml(&recording.head.settings)?;
-    let parameters = rule_parameters::from_settings(&plan, recording.head.margin_ms, recording.head.began_ms);
-    Ok(check_notes(&recording.notes, &plan, parameters))
+    let plan = HostSettings::from_toml(&recording.header.settings)?;
+    let parameters =
+        rule_parameters::from_settings(&plan, recording.header.margin_ms, recording.header.began_ms);
+    Ok(check_notes(&recording.events, &plan, parameters))
 }
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -7,7 +7,7 @@
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::HostError;
-use pearfork_record::{Counted, Head, Recording, Said};
+use pearfork_record::{HostClassCounts, RecordHeader, Recording, ScenarioEvent};
 use pearfork_rulecheck::{Report, TraceEvent, TraceEventKind};
 use pearfork_stand::{
     FakeClient, FakeClientSpec, FakeClientStats, FakeCluster, FakeClusterSpec, NodeFault, Recorder,
@@ -114,7 +114,7 @@
     /// Nodes that fell over cold.
     pub collapsed_nodes: Vec<u32>,
     /// What the script did.
-    pub said: Vec<Said>,
+    pub said: Vec<ScenarioEvent>,
     /// Start of the record, milliseconds of the Unix epoch.
     pub began_ms: f64,
 }
@@ -127,21 +127,21 @@
 
     /// The record of the day, to be kept.
     pub fn recording(&self, name: &str, day: &Scenario, plan: &HostSettings) -> Recording {
-        let head = Head {
+        let header = RecordHeader {
             name: name.to_owned(),
             hosts: day.run.hosts,
             length_ms: day.run.length.ms(),
             margin_ms: day.run.margin.ms(),
             began_ms: self.began_ms,
             settings: plan.provenance.resolved().to_owned(),
-            ..Head::default()
+            ..RecordHeader::default()
         };
         let counted = |(host, classes): (usize, &Vec<ClassCounts>)| {
             let reasons = |class: usize| {
                 let counts = self.reasons[host].by_reason(|k| usize::from(k.class) == class);
                 counts.into_iter().map(|(reason, n)| (reason.to_string(), n)).collect()
             };
-            let of_class = |(i, (class, c)): (usize, (&String, &ClassCounts))| Counted {
+            let of_class = |(i, (class, c)): (usize, (&String, &ClassCounts))| HostClassCounts {
                 host: host as u16,
                 class: class.clone(),
                 taken: c.taken,
@@ -155,11 +155,11 @@
             self.class_names.iter().zip(classes).enumerate().map(of_class).collect::<Vec<_>>()
         };
         Recording {
-            head,
-            said: self.said.clone(),
-            notes: self.notes.clone(),
-            counted: self.hosts.iter().enumerate().flat_map(counted).collect(),
-            whole: true,
+            header,
+            scenario_events: self.said.clone(),
+            events: self.notes.clone(),
+            host_counts: self.hosts.iter().enumerate().flat_map(counted).collect(),
+            complete: true,
         }
     }
 }
@@ -233,7 +233,7 @@
                     end(e, &fleet, crew, &clients)?
                 }
             };
-            said.push(Said { at_us: recorder.elapsed_us(), words: words.clone() });
+            said.push(ScenarioEvent { at_us: recorder.elapsed_us(), text: words.clone() });
             progress(began.elapsed(), &words);
             next_step += 1;
         }
--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -2,7 +2,7 @@
 
 use crate::expectations::ExpectationResult;
 use crate::RunResult;
-use pearfork_cli::{Mark, Output};
+use pearfork_cli::{Highlight, Output};
 use pearfork_rulecheck::Report;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -44,11 +44,11 @@
     for l in lines {
         let nearest = l.nearest.map_or("-".to_owned(), |n| format!("{:.0} %", n * 100.0));
         let (mark, verdict) = match (l.broken, l.checks) {
-            (0, 0) => (Mark::Look, "nothing to judge".to_owned()),
-            (0, _) => (Mark::Good, "kept".to_owned()),
-            (n, _) => (Mark::Bad, format!("BROKEN {n} times")),
+            (0, 0) => (Highlight::Warning, "nothing to judge".to_owned()),
+            (0, _) => (Highlight::Success, "kept".to_owned()),
+            (n, _) => (Highlight::Error, format!("BROKEN {n} times")),
         };
-        let verdict = output.paint(mark, &format!("{verdict:<17}"));
+        let verdict = output.highlight(mark, &format!("{verdict:<17}"));
         let _ = writeln!(out, "  {:<17} {verdict} checks {:>7}  nearest {nearest:>6}", l.rule, l.checks);
         for words in &l.words {
             let _ = writeln!(out, "      {words}");
@@ -184,7 +184,7 @@
     pub fn render(&self, output: Output) -> String {
         let mut out = format!(
             "\n{}\n  {:<18} {:>8} {:>8} {:>6} {:>8} {:>7} {:>6}\n",
-            output.paint(Mark::Head, "answers of all hosts by class"),
+            output.highlight(Highlight::Heading, "answers of all hosts by class"),
             "class",
             "taken",
             "served",
@@ -203,7 +203,7 @@
         let _ = writeln!(
             out,
             "\n{}",
-            output.paint(Mark::Head, "refused or failed, by what went on and by reason")
+            output.highlight(Highlight::Heading, "refused or failed, by what went on and by reason")
         );
         for d in self.fault_periods.iter().filter(|d| !d.reasons.is_empty()) {
             let troubles = if d.troubles.is_empty() { "calm".to_owned() } else { d.troubles.join(", ") };
@@ -212,7 +212,7 @@
             let words: Vec<String> = reasons.iter().map(|(reason, n)| format!("{reason} {n}")).collect();
             let _ = writeln!(out, "  {troubles} ({:.1} s): {}", d.lasted_s, words.join(", "));
         }
-        let _ = writeln!(out, "\n{}", output.paint(Mark::Head, "clients"));
+        let _ = writeln!(out, "\n{}", output.highlight(Highlight::Heading, "clients"));
         for c in &self.clients {
             let _ = writeln!(
                 out,
@@ -221,8 +221,8 @@
             );
         }
         for e in &self.expectations {
-            let mark = if e.met { Mark::Good } else { Mark::Bad };
-            let verdict = output.paint(mark, if e.met { "as promised" } else { "NOT AS PROMISED" });
+            let mark = if e.met { Highlight::Success } else { Highlight::Error };
+            let verdict = output.highlight(mark, if e.met { "as promised" } else { "NOT AS PROMISED" });
             let _ = writeln!(
                 out,
                 "  {} from {:.1} to {:.1} s: {:.1} % of its limit, {:.1} % at the least: {verdict}",
@@ -234,12 +234,13 @@
             );
         }
         for words in &self.stale {
-            let _ = writeln!(out, "  {} {words}", output.paint(Mark::Bad, "STALE"));
+            let _ = writeln!(out, "  {} {words}", output.highlight(Highlight::Error, "STALE"));
         }
         for node in &self.collapsed_nodes {
-            let _ = writeln!(out, "  {}", output.paint(Mark::Bad, &format!("node {node} fell over")));
+            let _ =
+                writeln!(out, "  {}", output.highlight(Highlight::Error, &format!("node {node} fell over")));
         }
-        let head = output.paint(Mark::Head, "the seven rules, from what passed over the sockets");
+        let head = output.highlight(Highlight::Heading, "the seven rules, from what passed over the sockets");
         let _ = write!(out, "\n{head}\n{}", rules_table(&self.rules, output));
         out
     }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use crossbeam_channel::select;
-use pearfork_cli::{Common, Exit, Output, SettingsArguments};
+use pearfork_cli::{CommonArguments, Exit, Output, SettingsArguments};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_stand::{FakeCluster, FakeClusterSpec, Recorder};
@@ -23,13 +23,13 @@
 #[command(name = "pearfork-gateway", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     #[command(subcommand)]
     command: Command,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -99,7 +99,7 @@
 
 /// Loads the settings and prints their warnings to standard error.
 fn load_settings(settings: &SettingsArguments) -> Result<HostSettings, String> {
-    let host_settings = HostSettings::load_with(&settings.config, &settings.over())
+    let host_settings = HostSettings::load_with(&settings.config, &settings.overrides())
         .map_err(|e| format!("the settings are refused\n{e}"))?;
     host_settings.warnings.iter().for_each(|w| eprintln!("{w}"));
     Ok(host_settings)
@@ -150,7 +150,7 @@
                 Ok(SIGHUP) => match load_settings(settings)
                     .and_then(|new| host.update_matching(&new).map_err(|e| e.to_string()))
                 {
-                    Ok(()) => output.put(&LifecycleEvent::MatchingReloaded, "matching rules reloaded\n"),
+                    Ok(()) => output.print(&LifecycleEvent::MatchingReloaded, "matching rules reloaded\n"),
                     Err(e) => {
                         eprintln!("pearfork-gateway: matching rules not reloaded, the previous ones stay in force\n{e}")
                     }
@@ -162,14 +162,14 @@
         }
     };
     let text = format!("stopping ({why}) once the accepted requests are answered\n");
-    output.put(&LifecycleEvent::Stopping { why }, &text);
+    output.print(&LifecycleEvent::Stopping { why }, &text);
     let all_answered = host.stop();
     drop(embedded_nodes);
     if !all_answered {
         eprintln!("pearfork-gateway: some requests had no final answer within `transport.drain`");
-        return Ok(Exit::No);
+        return Ok(Exit::Negative);
     }
-    Ok(Exit::Fine)
+    Ok(Exit::Success)
 }
 
 fn report_listening(host: &Host, fingerprint: String, output: Output) {
@@ -197,5 +197,5 @@
         settings: fingerprint,
         volumes: volumes.collect(),
     };
-    output.put(&event, &text);
+    output.print(&event, &text);
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -42,7 +42,7 @@
         }
     }
     tracing::info!("shutting down once the accepted requests are answered");
-    Ok(if host.stop() { Exit::Fine } else { Exit::No })
+    Ok(if host.stop() { Exit::Success } else { Exit::Negative })
 }
 
 /// Waits for the next signal; with a reload to retry, times out after [`RELOAD_RETRY_DELAY`].
--- a/crates/gateway/tests/check_agreement.rs
+++ b/crates/gateway/tests/check_agreement.rs
@@ -1,7 +1,7 @@
 //! `pearfork-check` and a starting host agree on every settings file: on a corpus with at least one file for
 //! each rule and each kind of error, and on a thousand seeded random mutations of valid files.
 
-use pearfork_check::{file, file_with, Kind, Verdict};
+use pearfork_check::{check_file, check_file_with, FileCheck, Kind};
 use pearfork_host::settings::{HostSettings, Overrides};
 use pearfork_host::Host;
 use rand_core::{Rng, SeedableRng};
@@ -90,8 +90,8 @@
 
 /// The checker's verdict on a file with the flags of [`start_gateway`], which count as a layer of the
 /// settings.
-fn check_as_started(path: &Path) -> Verdict {
-    file_with(path, &Overrides::new(Vec::new(), vec!["host.listen=\"127.0.0.1:0\"".to_owned()]))
+fn check_as_started(path: &Path) -> FileCheck {
+    check_file_with(path, &Overrides::new(Vec::new(), vec!["host.listen=\"127.0.0.1:0\"".to_owned()]))
 }
 
 #[test]
@@ -101,7 +101,7 @@
     for case in &corpus.good {
         let path = folder.write_settings(&settings_of(case));
         let checked = check_as_started(&path);
-        assert!(checked.right && checked.kind == Some(Kind::Settings), "{}: {}", case.name, checked.faults);
+        assert!(checked.valid && checked.kind == Some(Kind::Settings), "{}: {}", case.name, checked.errors);
         let (listens, stderr) = start_gateway(&path);
         assert!(listens, "{}: {stderr}", case.name);
         // The warnings are the same too.
@@ -111,19 +111,19 @@
     for case in &corpus.broken {
         let path = folder.write_settings(&settings_of(case));
         let checked = check_as_started(&path);
-        assert!(!checked.right, "{}", case.name);
-        assert!(checked.faults.contains(&case.want), "{}: {}", case.name, checked.faults);
+        assert!(!checked.valid, "{}", case.name);
+        assert!(checked.errors.contains(&case.want), "{}: {}", case.name, checked.errors);
         if case.rule > 0 {
             assert!(
-                checked.faults.contains(&format!("rule {}, ", case.rule)),
+                checked.errors.contains(&format!("rule {}, ", case.rule)),
                 "{}: {}",
                 case.name,
-                checked.faults
+                checked.errors
             );
             rules.insert(case.rule);
         }
         let (listens, stderr) = start_gateway(&path);
-        assert!(!listens && stderr.contains(&checked.faults), "{}:\n{stderr}\n{}", case.name, checked.faults);
+        assert!(!listens && stderr.contains(&checked.errors), "{}:\n{stderr}\n{}", case.name, checked.errors);
     }
     assert_eq!(
         rules.into_iter().collect::<Vec<_>>(),
@@ -162,7 +162,7 @@
         vec![("PEARFORK__TRANSPORT__DRAIN".to_owned(), "5s".to_owned())],
         vec!["host.listen=\"127.0.0.1:0\"".to_owned()],
     );
-    let fingerprint = file_with(&path, &overrides).fingerprint.unwrap();
+    let fingerprint = check_file_with(&path, &overrides).fingerprint.unwrap();
     let (first_line, stderr) = start(&fingerprint);
     assert!(
         first_line.contains("\"event\":\"listening\"") && first_line.contains(&fingerprint),
@@ -223,13 +223,13 @@
     for n in 0..1000 {
         let text = mutate(&valid, &mut random);
         let path = folder.write_settings(&text);
-        let checked = file(&path);
+        let checked = check_file(&path);
         match HostSettings::load(&path) {
             Ok(mut host_settings) => {
                 assert!(
-                    checked.right,
+                    checked.valid,
                     "mutation {n}: the host accepts it, the checker reports {}\n{text}",
-                    checked.faults
+                    checked.errors
                 );
                 // Errors of the machine, such as ports in use, are not part of the comparison.
                 let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -247,10 +247,10 @@
                 // The checker would take a file without `[host]` for another kind; no mutation removes that
                 // line from all.
                 assert!(
-                    !checked.right,
+                    !checked.valid,
                     "mutation {n}: the checker accepts it, the host reports {errors}\n{text}"
                 );
-                assert_eq!(checked.faults, errors.to_string(), "mutation {n}");
+                assert_eq!(checked.errors, errors.to_string(), "mutation {n}");
                 rejected += 1;
             }
         }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,7 +1,7 @@
 //! `pearfork-load`: loads iSCSI units at a rate or in a closed loop, and can prove every block that it reads.
 
 use clap::Parser;
-use pearfork_cli::{Common, Exit};
+use pearfork_cli::{CommonArguments, Exit};
 use pearfork_host::units::Span;
 use pearfork_load::run::run;
 use pearfork_load::session::{Pace, Plan};
@@ -53,11 +53,11 @@
     #[arg(long, default_value = "iqn.2026-12.org.pearfork:load")]
     initiator: String,
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -84,6 +84,6 @@
     };
     let (figures, took) = run(&plan).map_err(|e| e.to_string())?;
     let summary = figures.summary(took);
-    a.common.output.put(&summary, &summary.to_string());
-    Ok(if figures.wrong_count > 0 { Exit::No } else { Exit::Fine })
+    a.common.output.print(&summary, &summary.to_string());
+    Ok(if figures.wrong_count > 0 { Exit::Negative } else { Exit::Success })
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -153,7 +153,7 @@
         let seed = text_of("seed")?;
         let seed = u64::from_str_radix(seed, 16).map_err(|_| invalid("seed", &v["seed"]))?;
         let settings = field(&v, "settings")?;
-        let (scheduler, _) = pearfork_site::read_value(settings).map_err(ConfigError::Settings)?;
+        let (scheduler, _) = pearfork_site::parse_value(settings).map_err(ConfigError::Settings)?;
         scheduler.check().map_err(|e| ConfigError::Settings(e.to_string()))?;
         let schema = request_schema(settings, &scheduler)?;
         let cached_nodes = match v.get("known") {
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -20,12 +20,12 @@
 /// Longest line, bytes: the head holds all settings, with rules of thousands of rows.
 pub const MAX_LINE: usize = 16 << 20;
 /// Most notes that are read: about a day of an hour on loopback.
-pub const MAX_NOTES: usize = 20_000_000;
+pub const MAX_EVENTS: usize = 20_000_000;
 
 /// What a record begins with.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Head {
+pub struct RecordHeader {
     /// [`FORMAT`].
     pub pearfork_record: u32,
     /// What was played.
@@ -45,17 +45,18 @@
 /// Something the script did, in words.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Said {
+pub struct ScenarioEvent {
     /// Microseconds since the record began.
     pub at_us: u64,
     /// What.
-    pub words: String,
+    #[serde(rename = "words")]
+    pub text: String,
 }
 
 /// What a host counted for a class by itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Counted {
+pub struct HostClassCounts {
     /// The host.
     pub host: u16,
     /// The class, by name.
@@ -81,31 +82,36 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recording {
     /// What it begins with.
-    pub head: Head,
+    pub header: RecordHeader,
     /// What the script did.
-    pub said: Vec<Said>,
+    pub scenario_events: Vec<ScenarioEvent>,
     /// What passed the sockets and what stand-ins knew, in the order of the times.
-    pub notes: Vec<TraceEvent>,
+    pub events: Vec<TraceEvent>,
     /// What hosts counted.
-    pub counted: Vec<Counted>,
+    pub host_counts: Vec<HostClassCounts>,
     /// Whether the last line was there and right.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// A line, as it is read and written.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
-    Head(Head),
-    Said(Said),
-    Note(TraceEvent),
-    Counted(Counted),
-    End(End),
+    #[serde(rename = "head")]
+    Header(RecordHeader),
+    #[serde(rename = "said")]
+    ScenarioEvent(ScenarioEvent),
+    #[serde(rename = "note")]
+    Event(TraceEvent),
+    #[serde(rename = "counted")]
+    HostClassCounts(HostClassCounts),
+    #[serde(rename = "end")]
+    Trailer(Trailer),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct End {
+struct Trailer {
     /// Lines before this one.
     lines: u64,
     /// CRC32C (Castagnoli) of all their bytes, line ends included.
--- a/crates/record/src/read.rs
+++ b/crates/record/src/read.rs
@@ -1,6 +1,6 @@
 //! Reads a record; whatever the bytes are, it ends in a record or in an error that names the line.
 
-use crate::{Line, Recording, FORMAT, MAX_LINE, MAX_NOTES};
+use crate::{Line, Recording, FORMAT, MAX_EVENTS, MAX_LINE};
 use std::io::{self, BufRead, Read};
 
 /// A record that can't be read.
@@ -57,27 +57,27 @@
             Err(e) => return Err(bad(format!("is no line of a record: {e}"))),
         };
         match parsed {
-            Line::Head(head) if number == 0 => {
+            Line::Header(head) if number == 0 => {
                 if head.pearfork_record != FORMAT {
                     let other = head.pearfork_record;
                     return Err(bad(format!("is of format {other}; this program reads {FORMAT}")));
                 }
-                out.head = head;
+                out.header = head;
             }
             _ if number == 0 => return Err(bad("a record begins with its head".to_owned())),
-            Line::Head(_) => return Err(bad("a second head".to_owned())),
-            Line::Said(said) => out.said.push(said),
-            Line::Note(note) => {
-                if out.notes.last().is_some_and(|last| last.at_us > note.at_us) {
+            Line::Header(_) => return Err(bad("a second head".to_owned())),
+            Line::ScenarioEvent(said) => out.scenario_events.push(said),
+            Line::Event(note) => {
+                if out.events.last().is_some_and(|last| last.at_us > note.at_us) {
                     return Err(bad("notes are in the order of their times, and this is earlier".to_owned()));
                 }
-                if out.notes.len() >= MAX_NOTES {
-                    return Err(bad(format!("more than {MAX_NOTES} notes")));
+                if out.events.len() >= MAX_EVENTS {
+                    return Err(bad(format!("more than {MAX_EVENTS} notes")));
                 }
-                out.notes.push(note);
+                out.events.push(note);
             }
-            Line::Counted(counted) => out.counted.push(counted),
-            Line::End(end) => {
+            Line::HostClassCounts(counted) => out.host_counts.push(counted),
+            Line::Trailer(end) => {
                 if end.lines != number {
                     return Err(bad(format!("tells of {} lines, and {number} are here", end.lines)));
                 }
@@ -90,7 +90,7 @@
                 if from.read(&mut more).map_err(|source| ReadError::Io { line: line + 1, source })? > 0 {
                     return Err(ReadError::Line { line: line + 1, what: "stands after the end".to_owned() });
                 }
-                out.whole = true;
+                out.complete = true;
                 return Ok(out);
             }
         }
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -1,6 +1,6 @@
 //! Writes a record line by line.
 
-use crate::{Counted, End, Head, Line, Recording, Said, FORMAT};
+use crate::{HostClassCounts, Line, RecordHeader, Recording, ScenarioEvent, Trailer, FORMAT};
 use pearfork_rulecheck::TraceEvent;
 use std::io::{self, Write};
 
@@ -17,9 +17,9 @@
     ///
     /// # Errors
     /// As the writer's.
-    pub fn begin(to: W, head: &Head) -> io::Result<Self> {
+    pub fn new(to: W, head: &RecordHeader) -> io::Result<Self> {
         let mut writer = Writer { to, lines: 0, crc: 0 };
-        writer.line(&Line::Head(Head { pearfork_record: FORMAT, ..head.clone() }))?;
+        writer.line(&Line::Header(RecordHeader { pearfork_record: FORMAT, ..head.clone() }))?;
         Ok(writer)
     }
 
@@ -27,33 +27,33 @@
     ///
     /// # Errors
     /// As the writer's.
-    pub fn said(&mut self, said: &Said) -> io::Result<()> {
-        self.line(&Line::Said(said.clone()))
+    pub fn scenario_event(&mut self, event: &ScenarioEvent) -> io::Result<()> {
+        self.line(&Line::ScenarioEvent(event.clone()))
     }
 
     /// A note.
     ///
     /// # Errors
     /// As the writer's.
-    pub fn note(&mut self, note: &TraceEvent) -> io::Result<()> {
-        self.line(&Line::Note(note.clone()))
+    pub fn event(&mut self, event: &TraceEvent) -> io::Result<()> {
+        self.line(&Line::Event(event.clone()))
     }
 
     /// What a host counted.
     ///
     /// # Errors
     /// As the writer's.
-    pub fn counted(&mut self, counted: &Counted) -> io::Result<()> {
-        self.line(&Line::Counted(counted.clone()))
+    pub fn host_counts(&mut self, counts: &HostClassCounts) -> io::Result<()> {
+        self.line(&Line::HostClassCounts(counts.clone()))
     }
 
     /// Writes the last line, flushes, and gives the writer back.
     ///
     /// # Errors
     /// As the writer's.
-    pub fn end(mut self) -> io::Result<W> {
-        let end = End { lines: self.lines, crc32c: self.crc };
-        self.line(&Line::End(end))?;
+    pub fn finish(mut self) -> io::Result<W> {
+        let end = Trailer { lines: self.lines, crc32c: self.crc };
+        self.line(&Line::Trailer(end))?;
         self.to.flush()?;
         Ok(self.to)
     }
@@ -72,9 +72,9 @@
 /// # Errors
 /// As the writer's.
 pub fn write<W: Write>(to: W, recording: &Recording) -> io::Result<W> {
-    let mut writer = Writer::begin(to, &recording.head)?;
-    recording.said.iter().try_for_each(|s| writer.said(s))?;
-    recording.notes.iter().try_for_each(|n| writer.note(n))?;
-    recording.counted.iter().try_for_each(|c| writer.counted(c))?;
-    writer.end()
+    let mut writer = Writer::new(to, &recording.header)?;
+    recording.scenario_events.iter().try_for_each(|s| writer.scenario_event(s))?;
+    recording.events.iter().try_for_each(|n| writer.event(n))?;
+    recording.host_counts.iter().try_for_each(|c| writer.host_counts(c))?;
+    writer.finish()
 }
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -1,6 +1,6 @@
 //! Records come back as they were written; what is broken, cut off or not ours is told as such.
 
-use pearfork_record::{read, write, Counted, Head, Recording, Said};
+use pearfork_record::{read, write, HostClassCounts, RecordHeader, Recording, ScenarioEvent};
 use pearfork_rulecheck::wire::Header;
 use pearfork_rulecheck::{Endpoint, TraceEvent, TraceEventKind};
 use proptest::prelude::*;
@@ -29,16 +29,20 @@
     ];
     let notes = whats.into_iter().enumerate().map(|(i, kind)| TraceEvent { at_us: i as u64 * 10, kind });
     Recording {
-        head: Head {
+        header: RecordHeader {
             name: "a \"day\"\n".to_owned(),
             hosts: 2,
             settings: "[host]\n".to_owned(),
-            ..Head::default()
+            ..RecordHeader::default()
         },
-        said: vec![Said { at_us: 5, words: "Hang node 2 begins".to_owned() }],
-        notes: notes.collect(),
-        counted: vec![Counted { class: "write".to_owned(), taken: 4, ..Counted::default() }],
-        whole: true,
+        scenario_events: vec![ScenarioEvent { at_us: 5, text: "Hang node 2 begins".to_owned() }],
+        events: notes.collect(),
+        host_counts: vec![HostClassCounts {
+            class: "write".to_owned(),
+            taken: 4,
+            ..HostClassCounts::default()
+        }],
+        complete: true,
     }
 }
 
@@ -53,7 +57,7 @@
 #[test]
 fn a_record_comes_back_as_it_was_written() {
     let mut want = sample();
-    want.head.pearfork_record = 1;
+    want.header.pearfork_record = 1;
     assert_eq!(read(&written()[..]).unwrap(), want);
 }
 
@@ -65,11 +69,11 @@
     for cut in 0..all.len() {
         match read(&all[..cut]) {
             // Danger: half a record judged as a whole one finds commands without answers that were answered.
-            Ok(part) => assert!(!part.whole && cut > head, "cut at {cut}"),
+            Ok(part) => assert!(!part.complete && cut > head, "cut at {cut}"),
             Err(_) => assert!(cut <= head, "cut at {cut}"),
         }
     }
-    assert_eq!(read(&all[..=last]).unwrap().notes, sample().notes);
+    assert_eq!(read(&all[..=last]).unwrap().events, sample().events);
 }
 
 #[test]
@@ -108,7 +112,7 @@
         bytes.truncate(cut.max(1));
         // Either an error or a record; a byte changed in a record that still reads as whole is found by its checksum.
         if let Ok(r) = read(&bytes[..]) {
-            prop_assert!(!r.whole || bytes == written());
+            prop_assert!(!r.complete || bytes == written());
         }
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -10,7 +10,7 @@
 
 /// What a record tells.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Replayed {
+pub struct ReplayResult {
     /// What was played.
     pub name: String,
     /// Hosts that took part.
@@ -18,7 +18,8 @@
     /// Notes in the record.
     pub notes: usize,
     /// Whether it is whole. One that was cut off may hold commands whose answers it does not hold.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// Whether all rules were kept.
     pub kept: bool,
     /// The seven rules.
@@ -29,7 +30,7 @@
 ///
 /// # Errors
 /// The file and line, in words.
-pub fn open(path: &Path) -> Result<Recording, String> {
+pub fn read_file(path: &Path) -> Result<Recording, String> {
     let name = path.display();
     let file = File::open(path).map_err(|e| format!("{name}: {e}"))?;
     read(BufReader::new(file)).map_err(|e| format!("{name}: {e}"))
@@ -39,13 +40,13 @@
 ///
 /// # Errors
 /// Its settings make no plan, in words.
-pub fn replay(recording: &Recording) -> Result<Replayed, String> {
+pub fn replay(recording: &Recording) -> Result<ReplayResult, String> {
     let report = check_recording(recording).map_err(|e| e.to_string())?.report;
-    Ok(Replayed {
-        name: recording.head.name.clone(),
-        hosts: recording.head.hosts,
-        notes: recording.notes.len(),
-        whole: recording.whole,
+    Ok(ReplayResult {
+        name: recording.header.name.clone(),
+        hosts: recording.header.hosts,
+        notes: recording.events.len(),
+        complete: recording.complete,
         kept: report.passed(),
         rules: rule_summaries(&report),
     })
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,9 +1,9 @@
 //! `pearfork-replay`: proves the seven rules from recorded days.
 
 use clap::Parser;
-use pearfork_cli::{Common, Exit, Mark};
+use pearfork_cli::{CommonArguments, Exit, Highlight};
 use pearfork_day::summary::rules_table;
-use pearfork_replay::{open, replay};
+use pearfork_replay::{read_file, replay};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
 #[command(name = "pearfork-replay", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// Records.
     #[arg(required = true)]
     records: Vec<PathBuf>,
@@ -22,8 +22,8 @@
     cut_off: bool,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -34,23 +34,24 @@
 
 fn run(a: &Arguments) -> Result<Exit, String> {
     let output = a.common.output;
-    let mut end = Exit::Fine;
+    let mut end = Exit::Success;
     for path in &a.records {
-        let recording = open(path)?;
-        if !recording.whole && !a.cut_off {
+        let recording = read_file(path)?;
+        if !recording.complete && !a.cut_off {
             return Err(format!(
                 "{}: was cut off after {} notes; --cut-off judges it as far as it goes",
                 path.display(),
-                recording.notes.len()
+                recording.events.len()
             ));
         }
         let told = replay(&recording).map_err(|e| format!("{}: {e}", path.display()))?;
-        let cut = if told.whole { "" } else { ", cut off" };
+        let cut = if told.complete { "" } else { ", cut off" };
         let head =
             format!("{}: {}, {} hosts, {} notes{cut}", path.display(), told.name, told.hosts, told.notes);
-        let words = format!("{}\n{}", output.paint(Mark::Head, &head), rules_table(&told.rules, output));
-        output.put(&told, &words);
-        end = end.max(if told.kept { Exit::Fine } else { Exit::No });
+        let words =
+            format!("{}\n{}", output.highlight(Highlight::Heading, &head), rules_table(&told.rules, output));
+        output.print(&told, &words);
+        end = end.max(if told.kept { Exit::Success } else { Exit::Negative });
     }
     Ok(end)
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -51,13 +51,13 @@
     }
 
     // An effect that took place twice: the record is written anew, so that its checksum holds, and the rule is broken.
-    let mut spoiled = pearfork_replay::open(&path).unwrap();
+    let mut spoiled = pearfork_replay::read_file(&path).unwrap();
     let effect = |n: &&pearfork_rulecheck::TraceEvent| {
         matches!(n.kind, pearfork_rulecheck::TraceEventKind::Applied { .. })
     };
-    let twice = spoiled.notes.iter().find(effect).expect("an effect").clone();
-    let at = spoiled.notes.partition_point(|n| n.at_us <= twice.at_us);
-    spoiled.notes.insert(at, twice);
+    let twice = spoiled.events.iter().find(effect).expect("an effect").clone();
+    let at = spoiled.events.partition_point(|n| n.at_us <= twice.at_us);
+    spoiled.events.insert(at, twice);
     let other = folder.0.join("spoiled.record");
     pearfork_record::write(std::fs::File::create(&other).unwrap(), &spoiled).unwrap();
     let (code, told, _) = replay(&["--json=false"], &other);
--- a/crates/report/src/account.rs
+++ b/crates/report/src/account.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use pearfork_day::summary::{rule_summaries, RuleSummary};
 use pearfork_day::{check_recording, RuleCheck};
-use pearfork_record::{Counted, Recording, Said};
+use pearfork_record::{HostClassCounts, Recording, ScenarioEvent};
 use pearfork_rulecheck::trace::{Command, Trace};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -134,7 +134,8 @@
     /// How long clients offered load, seconds.
     pub length_s: f64,
     /// Whether the record is whole.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// Whether all rules were kept.
     pub kept: bool,
     /// The seven rules.
@@ -148,9 +149,11 @@
     /// By node.
     pub nodes: Vec<NodeAccount>,
     /// What the script did.
-    pub said: Vec<Said>,
+    #[serde(rename = "said")]
+    pub scenario_events: Vec<ScenarioEvent>,
     /// What hosts counted by themselves.
-    pub counted: Vec<Counted>,
+    #[serde(rename = "counted")]
+    pub host_counts: Vec<HostClassCounts>,
     /// Refusals and failures of all hosts by the module's reason, the most frequent first.
     pub reasons: Vec<(String, u64)>,
     /// The slowest served commands.
@@ -196,16 +199,16 @@
         seconds.get(&at).map_or(Second::default(), |(ends, h)| Second { ends: *ends, times: times(h) })
     };
     let mut reasons: BTreeMap<String, u64> = BTreeMap::new();
-    for (reason, n) in recording.counted.iter().flat_map(|c| &c.reasons) {
+    for (reason, n) in recording.host_counts.iter().flat_map(|c| &c.reasons) {
         *reasons.entry(reason.clone()).or_default() += n;
     }
     let mut reasons: Vec<(String, u64)> = reasons.into_iter().collect();
     reasons.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
     Ok(Account {
-        name: recording.head.name.clone(),
-        hosts: recording.head.hosts,
-        length_s: recording.head.length_ms / 1e3,
-        whole: recording.whole,
+        name: recording.header.name.clone(),
+        hosts: recording.header.hosts,
+        length_s: recording.header.length_ms / 1e3,
+        complete: recording.complete,
         kept: report.passed(),
         rules: rule_summaries(&report),
         all,
@@ -215,8 +218,8 @@
             .map(|(c, (ends, h))| ClassAccount { class: name_of(*c), ends: *ends, times: times(h) })
             .collect(),
         nodes: nodes(&trace, last),
-        said: recording.said.clone(),
-        counted: recording.counted.clone(),
+        scenario_events: recording.scenario_events.clone(),
+        host_counts: recording.host_counts.clone(),
         reasons,
         slowest: served.iter().take(SLOWEST).map(slow).collect(),
     })
--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -1,8 +1,8 @@
 //! `pearfork-report`: a report of a recorded day.
 
 use clap::Parser;
-use pearfork_cli::{Common, Exit};
-use pearfork_replay::open;
+use pearfork_cli::{CommonArguments, Exit};
+use pearfork_replay::read_file;
 use pearfork_report::account::account;
 use pearfork_report::page;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 #[command(name = "pearfork-report", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// The record.
     record: PathBuf,
     /// Write a page here.
@@ -22,8 +22,8 @@
     html: Option<PathBuf>,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -33,14 +33,14 @@
 }
 
 fn run(a: &Arguments) -> Result<Exit, String> {
-    let recording = open(&a.record)?;
+    let recording = read_file(&a.record)?;
     let account = account(&recording).map_err(|e| format!("{}: {e}", a.record.display()))?;
     match &a.html {
         Some(path) => {
             let page = page::html(&account).map_err(|e| e.to_string())?;
             std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))?;
         }
-        None => a.common.output.put(&account, &page::text(&account).map_err(|e| e.to_string())?),
+        None => a.common.output.print(&account, &page::text(&account).map_err(|e| e.to_string())?),
     }
-    Ok(if account.kept { Exit::Fine } else { Exit::No })
+    Ok(if account.kept { Exit::Success } else { Exit::Negative })
 }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -42,7 +42,8 @@
 /// # Errors
 /// As [`text`].
 pub fn html(account: &Account) -> Result<String, minijinja::Error> {
-    let moments: Vec<Moment> = account.said.iter().map(|s| Moment { at_s: s.at_us as f64 / 1e6 }).collect();
+    let moments: Vec<Moment> =
+        account.scenario_events.iter().map(|s| Moment { at_s: s.at_us as f64 / 1e6 }).collect();
     let by_second = |f: fn(&crate::account::Second) -> f64| account.seconds.iter().map(f).collect();
     let answers = [
         Curve { name: "sent", values: by_second(|s| s.ends.sent as f64) },
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -18,15 +18,15 @@
             .unwrap();
     let mut recording = result.recording("a <script>alert(1)</script> day", &day, &plan);
     // Each refusal and failure has its reason, and one only.
-    for c in &mut recording.counted {
+    for c in &mut recording.host_counts {
         assert_eq!(c.reasons.values().sum::<u64>(), c.refused + c.failed, "{c:?}");
         c.reasons.clear();
     }
-    recording.counted[0].reasons.insert("prediction".to_owned(), 4);
-    recording.counted[1].reasons.insert("prediction".to_owned(), 3);
-    recording.counted[1].reasons.insert("limit".to_owned(), 9);
+    recording.host_counts[0].reasons.insert("prediction".to_owned(), 4);
+    recording.host_counts[1].reasons.insert("prediction".to_owned(), 3);
+    recording.host_counts[1].reasons.insert("limit".to_owned(), 9);
     let a = account(&recording).unwrap();
-    assert!(a.kept && a.whole, "{:?}", a.rules);
+    assert!(a.kept && a.complete, "{:?}", a.rules);
     assert_eq!(a.reasons, [("limit".to_owned(), 9), ("prediction".to_owned(), 7)]);
     // All sums agree: by second, by class, and with what the clients counted themselves.
     let sum = |ends: &mut dyn Iterator<Item = Ends>| {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,7 +1,7 @@
 //! `pearfork-scale`: runs the control plane of a large fleet on this machine, and measures what each role costs.
 
 use clap::{Parser, Subcommand};
-use pearfork_cli::{Common, Exit};
+use pearfork_cli::{CommonArguments, Exit};
 use pearfork_scale::child::{serve, Assignment};
 use pearfork_scale::connections::{self, ConnectionCost, ConnectionPlan};
 use pearfork_scale::report::Report;
@@ -19,7 +19,7 @@
 #[command(name = "pearfork-scale", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     #[command(subcommand)]
     command: Command,
 }
@@ -147,15 +147,15 @@
     let why = match measured.map(|report| serde_json::to_string(&report)) {
         Ok(Ok(line)) => {
             println!("{line}");
-            return Exit::Fine.into();
+            return Exit::Success.into();
         }
         Ok(Err(why)) => RunError::Machine(why.into()),
         Err(why) => why,
     };
     eprintln!("{why}");
     match why {
-        RunError::Size(_) => Exit::Unusable.into(),
-        _ => Exit::No.into(),
+        RunError::Size(_) => Exit::Error.into(),
+        _ => Exit::Negative.into(),
     }
 }
 
@@ -163,7 +163,7 @@
     let arguments = Arguments::parse();
     if let Err(why) = arguments.common.start_log() {
         eprintln!("{why}");
-        return Exit::Unusable.into();
+        return Exit::Error.into();
     }
     match &arguments.command {
         Command::Run(of_run) => tell(measure(of_run)),
@@ -173,10 +173,10 @@
                 .map_err(|e| e.to_string())
                 .and_then(|assignment| serve(&assignment).map_err(|e| e.to_string()));
             match served {
-                Ok(()) => Exit::Fine.into(),
+                Ok(()) => Exit::Success.into(),
                 Err(why) => {
                     eprintln!("{why}");
-                    Exit::No.into()
+                    Exit::Negative.into()
                 }
             }
         }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -3,4 +3,4 @@
 
 mod params;
 
-pub use params::{read, read_value, Fields};
+pub use params::{parse, parse_value, LoadReportFields};
--- a/crates/site/src/params.rs
+++ b/crates/site/src/params.rs
@@ -5,7 +5,7 @@
 
 /// Where the values of interest stand in a load report.
 #[derive(Debug, Default, PartialEq)]
-pub struct Fields {
+pub struct LoadReportFields {
     /// Requests waiting.
     pub queue: Option<usize>,
     /// Requests held.
@@ -99,17 +99,17 @@
 /// Translates the settings text.
 ///
 /// # Errors
-/// No JSON, or as [`read_value`].
-pub fn read(params: &[u8]) -> Result<(Settings, Fields), String> {
+/// No JSON, or as [`parse_value`].
+pub fn parse(params: &[u8]) -> Result<(Settings, LoadReportFields), String> {
     let v: Value = serde_json::from_slice(params).map_err(|e| format!("settings are no JSON: {e}"))?;
-    read_value(&v)
+    parse_value(&v)
 }
 
 /// Translates settings that were parsed already.
 ///
 /// # Errors
 /// The setting that is missing or makes no sense, by its path.
-pub fn read_value(v: &Value) -> Result<(Settings, Fields), String> {
+pub fn parse_value(v: &Value) -> Result<(Settings, LoadReportFields), String> {
     let mut classes = Vec::new();
     for (i, c) in list(v, "Classes")?.iter().enumerate() {
         classes.push(class(c, &format!("Classes[{i}]."))?);
@@ -157,5 +157,5 @@
     let names = find(v, "Report.Fields").and_then(Value::as_array);
     let at = |name| names.and_then(|n| n.iter().position(|f| f.as_str() == Some(name)));
     let (queue, in_flight) = (at("pending"), at("busy_reqs"));
-    Ok((settings, Fields { queue, in_flight, latency: at("svc_ms"), util: at("cpu_share") }))
+    Ok((settings, LoadReportFields { queue, in_flight, latency: at("svc_ms"), util: at("cpu_share") }))
 }
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -1,7 +1,7 @@
 //! `pearfork-trial`: plays days whose hosts are processes of their own.
 
 use clap::{Parser, Subcommand};
-use pearfork_cli::{Common, Exit, SettingsArguments};
+use pearfork_cli::{CommonArguments, Exit, SettingsArguments};
 use pearfork_day::scenario::Scenario;
 use pearfork_day::summary::Summary;
 use pearfork_day::{load_inputs, run_scenario};
@@ -19,7 +19,7 @@
 #[command(name = "pearfork-trial", version, about)]
 struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// The program that hosts run; the one beside this program where it is not named.
     #[arg(long)]
     gateway: Option<PathBuf>,
@@ -33,8 +33,8 @@
     command: Command,
 }
 
-impl AsRef<Common> for Arguments {
-    fn as_ref(&self) -> &Common {
+impl AsRef<CommonArguments> for Arguments {
+    fn as_ref(&self) -> &CommonArguments {
         &self.common
     }
 }
@@ -99,13 +99,13 @@
             let settings = plan.provenance.resolved();
             let script = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
             let right = one(&a, &day.display().to_string(), &script, &plan, settings, true)?;
-            Ok(if right { Exit::Fine } else { Exit::No })
+            Ok(if right { Exit::Success } else { Exit::Negative })
         }
         Command::Demo => {
             let plan = HostSettings::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
             let script = Scenario::from_toml(DEMO.0).map_err(|e| e.to_string())?;
             let right = one(&a, "demo", &script, &plan, DEMO.1, true)?;
-            Ok(if right { Exit::Fine } else { Exit::No })
+            Ok(if right { Exit::Success } else { Exit::Negative })
         }
         Command::Search { day, settings, seed, plays, troubles } => {
             let (text, plan) = load_inputs(day, settings)?;
@@ -113,14 +113,14 @@
             let mut script = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
             let voters = plan.fleet.as_ref().map_or(1, |f| f.voters.len() as u16);
             script.expectations.clear();
-            let mut end = Exit::Fine;
+            let mut end = Exit::Success;
             for seed in *seed..seed.saturating_add(*plays) {
                 script.run.seed = seed;
                 script.events = draw_schedule(seed, script.run.hosts, voters, script.run.length, *troubles);
                 if one(&a, &format!("seed {seed}"), &script, &plan, settings, false)? {
                     continue;
                 }
-                end = Exit::No;
+                end = Exit::Negative;
                 let mut smaller = script.clone();
                 let least = shrink_schedule(script.events.clone(), |events| {
                     smaller.events = events.to_vec();
@@ -128,7 +128,7 @@
                     one(&a, "smaller", &smaller, &plan, settings, false).is_ok_and(|right| !right)
                 });
                 let words: Vec<String> = least.iter().map(|e| format!("{e:?}")).collect();
-                a.common.output.put(&words, &format!("seed {seed} breaks by\n  {}\n", words.join("\n  ")));
+                a.common.output.print(&words, &format!("seed {seed} breaks by\n  {}\n", words.join("\n  ")));
             }
             Ok(end)
         }
@@ -161,20 +161,20 @@
     let told = |at: Duration, words: &str| {
         if loud {
             let at_s = at.as_secs_f64();
-            output.put(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
+            output.print(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
         }
     };
     let mut crew = HostProcesses::new(program);
     if loud {
         crew.tell(move |host, at| {
             let words = format!("host {host}: http://{at}/fleet");
-            output.put(&Progress { at_s: 0.0, words: &words }, &format!("        {words}\n"));
+            output.print(&Progress { at_s: 0.0, words: &words }, &format!("        {words}\n"));
         });
     }
     let result = run_scenario(day, plan, &mut crew, told).map_err(|e| e.to_string())?;
     let summary = Summary::new(&result);
     if loud {
-        output.put(&summary, &summary.render(output));
+        output.print(&summary, &summary.render(output));
     }
     let mut broken: Vec<String> = summary.rules.iter().flat_map(|r| r.words.clone()).collect();
     broken.extend(summary.stale.iter().cloned());
@@ -198,6 +198,6 @@
         refused: result.clients.iter().map(|(_, t)| t.refused).sum(),
     };
     let verdict = if end.broken.is_empty() { "all held".to_owned() } else { end.broken.join("\n  ") };
-    output.put(&end, &format!("{name}, seed {}: {verdict}\n", end.seed));
+    output.print(&end, &format!("{name}, seed {}: {verdict}\n", end.seed));
     Ok(summary.passed)
 }
