--- a/crates/serving/src/counters.rs
+++ b/crates/serving/src/counters.rs
@@ -35,11 +35,11 @@
         *self.attempts_ended.entry(label).or_insert(0) += 1;
     }
 
-    /// Formats the counts as one line and resets them.
+    /// Formats the counts as one line and resets them. Operators' tools read the names in the line.
     pub(crate) fn take_log_line(&mut self) -> String {
         let t = std::mem::take(self);
         let mut line = format!(
-            "requests {} served {} disconnected {} invalid {} sent {} links {} longest queue wait {:.1} ms",
+            "asked {} served {} gone {} faults {} sent {} opened {} slowest turn {:.1} ms",
             t.requests,
             t.served,
             t.disconnected,
