--- a/crates/layers/src/lib.rs
+++ b/crates/layers/src/lib.rs
@@ -1,11 +1,12 @@
-//! Settings in layers, merged to one table; and for each value, where it was given and what it hides.
+//! Layered settings: merges several sources into one table and records the origin of each value.
 //!
-//! From the lowest: files that a file includes, in their order; the file itself; variables of the environment, by name;
-//! flags, in their order. Tables are merged key by key. An array of tables that have names is merged name by name:
-//! a later `[[class]]` of the same name changes the keys that it gives and leaves the others. All else is replaced
-//! whole. Two of one name within a file both stay, for the reader of the table to refuse.
+//! Layers, from lowest to highest precedence: included files in the order of the `include` list, the file
+//! itself, environment variables sorted by name, command-line flags in their order. Tables are merged key by
+//! key. Arrays of named tables are merged by `name`: a later `[[class]]` with the same name overrides the
+//! keys that it sets and keeps the others. Any other value is replaced as a whole. If one file holds two
+//! entries with the same name, both are kept, so that the reader of the merged table can reject them.
 //!
-//! No I/O: files are read by a function that the caller gives, each once.
+//! This crate performs no I/O: the caller supplies a function that reads files.
 
 mod file;
 mod key;
@@ -19,29 +20,29 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Files that one may include, over all depths.
+/// Maximum number of files, the including one and those at all include depths.
 pub const MAX_FILES: usize = 64;
-/// How deep includes may nest.
+/// Maximum nesting depth of includes.
 pub const MAX_DEPTH: usize = 8;
-/// Bytes of one file.
+/// Maximum size of one file, in bytes.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// Where a value was given.
+/// The source of a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Origin {
-    /// In a file.
+    /// A settings file.
     File {
-        /// Its name, as the include or the caller has it.
+        /// File name as passed by the caller, or the resolved path of an include.
         name: String,
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
     },
-    /// By a variable of the environment.
+    /// An environment variable, by name.
     Variable(String),
-    /// By a flag, as it was given.
+    /// A command-line flag, as `KEY=VALUE`.
     Flag(String),
-    /// Nowhere: it is what the program takes.
+    /// No layer sets the value; the program's default applies.
     Default,
 }
 
@@ -56,140 +57,146 @@
     }
 }
 
-/// A value as one layer gives it.
+/// A value set by one layer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerValue {
-    /// Where.
+    /// Where the layer sets it.
     pub origin: Origin,
     /// The value.
     pub value: toml::Value,
-    /// For a file: which source, and where in its text.
+    /// For a value from a file: index into [`Layers::sources`] and byte range within that text.
     pub span: Option<(usize, Range<usize>)>,
 }
 
-/// A file as it was read.
+/// A settings file and its contents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// Its name.
+    /// File name.
     pub name: String,
-    /// What it says.
+    /// Contents.
     pub text: String,
 }
 
-/// What is wrong with the layers themselves.
+/// An error in reading or merging the layers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LayerError {
-    /// Not TOML; the text names the line.
+    /// A file is not valid TOML; the message contains the file name and line.
     #[error("{0}")]
     Syntax(String),
-    /// A file that can't be read.
+    /// A file cannot be read.
     #[error("{file}: {reason}")]
     Unreadable {
-        /// Which, and who asks for it.
+        /// File name, with the including file if there is one.
         file: String,
-        /// What the machine says.
+        /// Error of the read function, or the exceeded limit.
         reason: String,
     },
-    /// Includes that can't be followed.
+    /// An `include` entry is invalid.
     #[error("{file}, include: {message}")]
     Include {
-        /// The file that includes.
+        /// The file with the `include` key.
         file: String,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
-    /// A variable or flag that can't be taken.
+    /// An environment variable or flag cannot be applied.
     #[error("{origin}: {message}")]
     Override {
-        /// Which.
+        /// The variable or flag.
         origin: Origin,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// All layers, merged.
+/// The merged layers.
 #[derive(Clone, Debug, Default)]
 pub struct Layers {
-    /// Files in the order in which they count; the caller's own is the last.
+    /// Files in ascending precedence; the caller's own file is last.
     pub sources: Vec<Source>,
-    /// What is left when later layers have hidden earlier ones. Without `include`.
+    /// The merged table, without the `include` key.
     pub merged: toml::Table,
-    given: BTreeMap<Key, Vec<LayerValue>>,
-    heads: BTreeMap<Key, Origin>,
-    overridden: bool,
+    /// All settings of each value, in ascending precedence.
+    values: BTreeMap<Key, Vec<LayerValue>>,
+    /// Where each table or named entry was last opened in a file.
+    table_origins: BTreeMap<Key, Origin>,
+    has_overrides: bool,
 }
 
 impl Layers {
-    /// Gathers all layers. `read` is given a file's path as seen from the caller's own file; `exclusive` names keys of which
-    /// the later one given hides the others, as two ways to say one thing.
+    /// Reads and merges all layers.
+    ///
+    /// `read` is called with paths relative to the folder of the caller's own file. Each item of `exclusive`
+    /// is a table and two of its keys that are alternatives: setting one in a later layer removes the other.
     ///
     /// # Errors
-    /// All that could be found; a file that is no TOML hides what it would have said.
+    /// All errors that were found. Includes of a file that is not valid TOML are not followed.
     pub fn load(
         name: &str,
         text: &str,
         read: &dyn Fn(&str) -> Result<String, String>,
-        over: &Overrides,
+        overrides: &Overrides,
         exclusive: &[[&str; 3]],
     ) -> Result<Layers, Vec<LayerError>> {
         let mut layers = Layers::default();
-        let mut gathering = file::Gathering { read, exclusive, open: Vec::new(), faults: Vec::new() };
-        gathering.file(&mut layers, name, "", text);
-        let mut faults = gathering.faults;
-        if faults.is_empty() {
-            over.put(&mut layers, exclusive, &mut faults);
+        let mut loader = file::FileLoader { read, exclusive, open_files: Vec::new(), errors: Vec::new() };
+        loader.load(&mut layers, name, "", text);
+        let mut errors = loader.errors;
+        if errors.is_empty() {
+            overrides.apply(&mut layers, exclusive, &mut errors);
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(layers)
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    /// Whether one file says it all.
+    /// Whether all settings come from a single file, without includes or overrides.
     pub fn is_single_file(&self) -> bool {
-        self.sources.len() == 1 && !self.overridden
+        self.sources.len() == 1 && !self.has_overrides
     }
 
-    /// All layers that give a value, the one that counts last; empty where none does.
+    /// The settings of one value in ascending precedence; the last one is in effect. Empty if no layer sets
+    /// it.
     pub fn values(&self, key: &Key) -> &[LayerValue] {
-        self.given.get(key).map_or(&[], Vec::as_slice)
+        self.values.get(key).map_or(&[], Vec::as_slice)
     }
 
-    /// All keys that are given.
+    /// All keys that any layer sets, with their settings in ascending precedence.
     pub fn entries(&self) -> impl Iterator<Item = (&Key, &[LayerValue])> {
-        self.given.iter().map(|(k, g)| (k, g.as_slice()))
+        self.values.iter().map(|(key, values)| (key, values.as_slice()))
     }
 
-    /// Where a key stands: the value, or what it is within; `None` where not even that is given.
+    /// The origin of a value, or of the closest enclosing table if no layer sets the value. `None` if no
+    /// layer sets any enclosing table either.
     pub fn origin(&self, key: &Key) -> Option<&Origin> {
-        let mut at = Some(key.clone());
-        while let Some(k) = at {
-            if let Some(given) = self.values(&k).last() {
-                return Some(&given.origin);
+        let mut current = Some(key.clone());
+        while let Some(key) = current {
+            if let Some(value) = self.values(&key).last() {
+                return Some(&value.origin);
             }
-            if let Some(head) = self.heads.get(&k) {
-                return Some(head);
+            if let Some(origin) = self.table_origins.get(&key) {
+                return Some(origin);
             }
-            at = k.parent();
+            current = key.parent();
         }
         None
     }
 
-    fn note(&mut self, key: Key, given: LayerValue) {
-        self.given.entry(key).or_default().push(given);
+    fn record(&mut self, key: Key, value: LayerValue) {
+        self.values.entry(key).or_default().push(value);
     }
 
-    /// What was given at a key, or below it, is there no more.
-    fn forget(&mut self, key: &Key) {
-        self.given.remove(key);
-        self.hide_below(key);
+    /// Removes the recorded values of a key and of everything below it.
+    fn remove(&mut self, key: &Key) {
+        self.values.remove(key);
+        self.remove_below(key);
     }
 
-    /// A later layer replaces what is at a key as a whole: what was given below it no longer counts.
-    fn hide_below(&mut self, key: &Key) {
-        self.given.retain(|k, _| !k.is_below(key));
-        self.heads.retain(|k, _| !k.is_below(key));
+    /// Removes the recorded values below a key, for a layer that replaces the value of that key as a whole.
+    fn remove_below(&mut self, key: &Key) {
+        self.values.retain(|k, _| !k.is_below(key));
+        self.table_origins.retain(|k, _| !k.is_below(key));
     }
 }
--- a/crates/layers/src/merge.rs
+++ b/crates/layers/src/merge.rs
@@ -1,84 +1,87 @@
-//! One table over another.
+//! Merges one table into another.
 
 use crate::{Key, Layers};
 use std::collections::HashSet;
 use toml::{Table, Value};
 
-/// The name of an entry of an array of tables.
+/// The `name` of an entry of an array of tables.
 pub(crate) fn name_of(value: &Value) -> Option<&str> {
     value.as_table()?.get("name")?.as_str()
 }
 
-/// Whether an array holds tables that all have names, and at least one.
+/// Whether a value is a non-empty array of tables that all have a `name`.
 pub(crate) fn is_named(value: &Value) -> bool {
     value.as_array().is_some_and(|a| !a.is_empty() && a.iter().all(|v| name_of(v).is_some()))
 }
 
 impl Layers {
-    /// Puts a later table over what there is.
-    pub(crate) fn merge(&mut self, over: Table, exclusive: &[[&str; 3]]) {
+    /// Merges a table of higher precedence into the merged table.
+    pub(crate) fn merge(&mut self, overlay: Table, exclusive: &[[&str; 3]]) {
         let mut merged = std::mem::take(&mut self.merged);
         for [table, a, b] in exclusive {
             for (one, other) in [(a, b), (b, a)] {
-                let gives = |t: &Table, key: &str| {
+                let sets = |t: &Table, key: &str| {
                     t.get(*table).and_then(Value::as_table).is_some_and(|t| t.contains_key(key))
                 };
-                // Both in one file are that file's own fault, and stay for it to be told.
-                if gives(&over, one) && !gives(&over, other) {
+                // A file that sets both alternatives keeps both, so that the reader of the table can report
+                // it.
+                if sets(&overlay, one) && !sets(&overlay, other) {
                     if let Some(t) = merged.get_mut(*table).and_then(Value::as_table_mut) {
                         t.remove(*other);
                     }
-                    self.forget(&Key::of(&[table, other]));
+                    self.remove(&Key::of(&[table, other]));
                 }
             }
         }
-        self.table(&mut merged, over, &Key::default());
+        self.merge_table(&mut merged, overlay, &Key::default());
         self.merged = merged;
     }
 
-    fn table(&mut self, into: &mut Table, over: Table, at: &Key) {
-        for (key, value) in over {
-            let own = at.child(&key);
-            match into.get_mut(&key) {
+    fn merge_table(&mut self, base: &mut Table, overlay: Table, path: &Key) {
+        for (key, value) in overlay {
+            let child_path = path.child(&key);
+            match base.get_mut(&key) {
                 None => {
-                    into.insert(key, value);
+                    base.insert(key, value);
                 }
-                Some(there) => self.value(there, value, &own),
+                Some(existing) => self.merge_value(existing, value, &child_path),
             }
         }
     }
 
-    fn value(&mut self, into: &mut Value, over: Value, at: &Key) {
-        match (into, over) {
-            (Value::Table(into), Value::Table(over)) => self.table(into, over, at),
-            (Value::Array(into), over) if is_named(&over) && into.iter().all(|v| name_of(v).is_some()) => {
-                let Value::Array(over) = over else { return };
-                self.named(into, over, at);
+    fn merge_value(&mut self, base: &mut Value, overlay: Value, path: &Key) {
+        match (base, overlay) {
+            (Value::Table(base), Value::Table(overlay)) => self.merge_table(base, overlay, path),
+            (Value::Array(base), overlay)
+                if is_named(&overlay) && base.iter().all(|v| name_of(v).is_some()) =>
+            {
+                let Value::Array(overlay) = overlay else { return };
+                self.merge_named_entries(base, overlay, path);
             }
-            (into, over) => {
-                if over.is_table() || is_named(&over) {
-                    self.forget(at);
+            (base, overlay) => {
+                if overlay.is_table() || is_named(&overlay) {
+                    self.remove(path);
                 } else {
-                    self.hide_below(at);
+                    self.remove_below(path);
                 }
-                *into = over;
+                *base = overlay;
             }
         }
     }
 
-    fn named(&mut self, into: &mut Vec<Value>, over: Vec<Value>, at: &Key) {
-        let before = into.len();
-        let mut changed: HashSet<String> = HashSet::new();
-        for entry in over {
+    fn merge_named_entries(&mut self, base: &mut Vec<Value>, overlay: Vec<Value>, path: &Key) {
+        let base_len = base.len();
+        let mut merged_names: HashSet<String> = HashSet::new();
+        for entry in overlay {
             let Some(name) = name_of(&entry).map(str::to_owned) else { continue };
-            let there = into[..before].iter_mut().find(|v| name_of(v) == Some(&name));
-            match (there, entry) {
-                // Danger: two of one name in a file would be merged into one without a word. The second is added, and
-                // whoever reads the table says that the name is given twice.
-                (Some(Value::Table(there)), Value::Table(entry)) if changed.insert(name.clone()) => {
-                    self.table(there, entry, &at.child(&name));
+            let existing = base[..base_len].iter_mut().find(|v| name_of(v) == Some(&name));
+            match (existing, entry) {
+                // Merging two entries of the same name from one file would silently combine them. The second
+                // is appended instead, so that the reader of the table reports the duplicate name.
+                (Some(Value::Table(existing)), Value::Table(entry)) if merged_names.insert(name.clone()) => {
+                    self.merge_table(existing, entry, &path.child(&name));
                 }
-                (_, entry) => into.push(entry),
+                (_, entry) => base.push(entry),
             }
         }
     }
--- a/crates/layers/src/overrides.rs
+++ b/crates/layers/src/overrides.rs
@@ -1,25 +1,26 @@
-//! Variables of the environment and flags.
+//! Overrides from environment variables and command-line flags.
 
 use crate::merge::{is_named, name_of};
 use crate::{Key, LayerError, LayerValue, Layers, Origin};
 use toml::{Table, Value};
 
-/// What goes over the files.
+/// Overrides that are applied on top of the files: environment variables first, then flags.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// Names and values; `PEARFORK__RULES__DRAIN_GRACE` is `rules.drain_grace`.
+    /// Names and values; `PEARFORK__RULES__DRAIN_GRACE` sets `rules.drain_grace`.
     environment: Vec<(String, String)>,
-    /// `KEY=VALUE`.
+    /// Flags as `KEY=VALUE`.
     flags: Vec<String>,
 }
 
 impl Overrides {
-    /// Variables by name and value, of which the first part up to `__` is passed over; and flags as `KEY=VALUE`.
+    /// Takes variables as pairs of name and value, and flags as `KEY=VALUE`. The part of a variable's name
+    /// before the first `__` is a prefix and is ignored.
     pub fn new(environment: Vec<(String, String)>, flags: Vec<String>) -> Self {
         Overrides { environment, flags }
     }
 
-    pub(crate) fn put(&self, layers: &mut Layers, exclusive: &[[&str; 3]], faults: &mut Vec<LayerError>) {
+    pub(crate) fn apply(&self, layers: &mut Layers, exclusive: &[[&str; 3]], errors: &mut Vec<LayerError>) {
         let mut environment = self.environment.clone();
         environment.sort();
         let variables = environment.iter().map(|(name, text)| {
@@ -38,90 +39,94 @@
             };
             (Origin::Flag(flag.clone()), key, text, false)
         });
-        for (origin, key, text, loose) in variables.chain(flags) {
-            let put = key.and_then(|key| layers.put(&key, &value(text), loose, &origin, exclusive));
-            if let Err(message) = put {
-                faults.push(LayerError::Override { origin, message });
+        for (origin, key, text, is_variable) in variables.chain(flags) {
+            let applied =
+                key.and_then(|key| layers.set(&key, &parse_value(text), is_variable, &origin, exclusive));
+            if let Err(message) = applied {
+                errors.push(LayerError::Override { origin, message });
             }
         }
     }
 }
 
-/// A value of TOML where the text is one, otherwise the text: `3s` needs no quotes.
-fn value(text: &str) -> Value {
+/// Parses a text as a TOML value; a text that is not valid TOML becomes a string, so that `3s` needs no
+/// quotes.
+fn parse_value(text: &str) -> Value {
     let parsed = toml::from_str::<Table>(&format!("v = {text}")).ok();
-    let one = parsed.filter(|t| t.len() == 1).and_then(|mut t| t.remove("v"));
-    one.unwrap_or_else(|| Value::String(text.to_owned()))
+    let value = parsed.filter(|t| t.len() == 1).and_then(|mut t| t.remove("v"));
+    value.unwrap_or_else(|| Value::String(text.to_owned()))
 }
 
-/// Whether a part of a variable's name means a key: case does not count, and `_` stands for what a name may not hold.
-fn means(part: &str, key: &str) -> bool {
-    let plain = |c: char| if c.is_ascii_alphanumeric() { c.to_ascii_lowercase() } else { '_' };
-    part.chars().map(plain).eq(key.chars().map(plain))
+/// Whether a part of a variable's name matches a key: case is ignored, and `_` matches any character that is
+/// not allowed in the name of a variable.
+fn matches_variable(part: &str, key: &str) -> bool {
+    let normalize = |c: char| if c.is_ascii_alphanumeric() { c.to_ascii_lowercase() } else { '_' };
+    part.chars().map(normalize).eq(key.chars().map(normalize))
 }
 
 impl Layers {
-    /// Puts one value over what there is. Entries of named arrays must be there: a variable that adds a volume by a slip
-    /// of the pen would be taken in silence.
-    fn put(
+    /// Sets one value in the merged table. Entries of named arrays must already exist: a mistyped name would
+    /// otherwise silently add an entry, such as a volume.
+    fn set(
         &mut self,
         parts: &[String],
         value: &Value,
-        loose: bool,
+        is_variable: bool,
         origin: &Origin,
         exclusive: &[[&str; 3]],
     ) -> Result<(), String> {
         if value.is_table() || is_named(value) {
-            return Err("gives a table; give its keys one by one".to_owned());
+            return Err("the value is a table; set its keys one by one".to_owned());
         }
-        let fits = |part: &str, key: &str| if loose { means(part, key) } else { part == key };
-        let Some((last, within)) = parts.split_last() else { return Err("names no value".to_owned()) };
-        let mut own = Key::default();
-        let mut at: &mut Table = &mut self.merged;
-        let mut steps = within.iter();
-        while let Some(part) = steps.next() {
-            let key = at.keys().find(|k| fits(part, k)).cloned();
-            let key = key.unwrap_or_else(|| if loose { part.to_lowercase() } else { part.clone() });
-            own = own.child(&key);
-            let there = at.entry(key.clone()).or_insert_with(|| Value::Table(Table::new()));
-            if is_named(there) {
-                let Some(name) = steps.next() else {
-                    return Err(format!("`{own}` has entries; write {own}.NAME.KEY"));
+        let matches =
+            |part: &str, key: &str| if is_variable { matches_variable(part, key) } else { part == key };
+        let Some((last, parents)) = parts.split_last() else { return Err("names no value".to_owned()) };
+        let mut path = Key::default();
+        let mut table: &mut Table = &mut self.merged;
+        let mut remaining = parents.iter();
+        while let Some(part) = remaining.next() {
+            let key = table.keys().find(|k| matches(part, k)).cloned();
+            let key = key.unwrap_or_else(|| if is_variable { part.to_lowercase() } else { part.clone() });
+            path = path.child(&key);
+            let existing = table.entry(key.clone()).or_insert_with(|| Value::Table(Table::new()));
+            if is_named(existing) {
+                let Some(name) = remaining.next() else {
+                    return Err(format!("`{path}` has entries; write {path}.NAME.KEY"));
                 };
-                let Value::Array(entries) = there else { return Err(format!("`{own}` has no entries")) };
+                let Value::Array(entries) = existing else { return Err(format!("`{path}` has no entries")) };
                 let known: Vec<String> = entries.iter().filter_map(name_of).map(str::to_owned).collect();
-                let found = entries.iter_mut().find(|e| name_of(e).is_some_and(|n| fits(name, n)));
+                let found = entries.iter_mut().find(|e| name_of(e).is_some_and(|n| matches(name, n)));
                 let Some(entry) = found.and_then(Value::as_table_mut) else {
                     return Err(format!("there is no {key} `{name}`; there are {}", known.join(", ")));
                 };
                 let name = entry.get("name").and_then(Value::as_str).unwrap_or_default().to_owned();
-                own = own.child(&name);
-                at = entry;
-            } else if let Value::Table(table) = there {
-                at = table;
+                path = path.child(&name);
+                table = entry;
+            } else if let Value::Table(inner) = existing {
+                table = inner;
             } else {
-                return Err(format!("`{own}` is a value, and has nothing within"));
+                return Err(format!("`{path}` is a value and has no keys"));
             }
         }
-        let key = at.keys().find(|k| fits(last, k)).cloned();
-        let key = key.unwrap_or_else(|| if loose { last.to_lowercase() } else { last.clone() });
-        if at.get(&key).is_some_and(is_named) {
+        let key = table.keys().find(|k| matches(last, k)).cloned();
+        let key = key.unwrap_or_else(|| if is_variable { last.to_lowercase() } else { last.clone() });
+        if table.get(&key).is_some_and(is_named) {
             return Err(format!("`{key}` has entries; write {key}.NAME.KEY"));
         }
-        let mut hidden = None;
-        for [table, a, b] in exclusive {
+        let mut replaced = None;
+        for [parent, a, b] in exclusive {
             let other = if key == *a { b } else { a };
-            if own == Key::of(&[table]) && (key == *a || key == *b) {
-                at.remove(*other);
-                hidden = Some(own.child(other));
+            if path == Key::of(&[parent]) && (key == *a || key == *b) {
+                table.remove(*other);
+                replaced = Some(path.child(other));
             }
         }
-        own = own.child(&key);
-        at.insert(key, value.clone());
-        self.hide_below(&own);
-        hidden.iter().for_each(|h| self.forget(h));
-        self.overridden = true;
-        self.note(own, LayerValue { origin: origin.clone(), value: value.clone(), span: None });
+        path = path.child(&key);
+        table.insert(key, value.clone());
+        self.remove_below(&path);
+        replaced.iter().for_each(|key| self.remove(key));
+        self.has_overrides = true;
+        self.record(path, LayerValue { origin: origin.clone(), value: value.clone(), span: None });
         Ok(())
     }
 }
--- a/crates/layers/tests/layers.rs
+++ b/crates/layers/tests/layers.rs
@@ -1,4 +1,4 @@
-//! Layers over layers: what counts, where it came from, and what is refused.
+//! Precedence of layers, origins of values, includes, overrides, and errors.
 
 use pearfork_layers::{Key, LayerError, Layers, Origin, Overrides};
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 
 const EXCLUSIVE: &[[&str; 3]] = &[["match", "rules", "file"]];
 
-fn gather(
+fn load(
     files: &[(&str, &str)],
     environment: &[(&str, &str)],
     flags: &[&str],
@@ -15,92 +15,94 @@
     let all: BTreeMap<&str, &str> = files.iter().copied().collect();
     let read = |path: &str| all.get(path).map(|t| (*t).to_owned()).ok_or("no such file".to_owned());
     let environment = environment.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
-    let over = Overrides::new(environment, flags.iter().map(|f| (*f).to_owned()).collect());
-    Layers::load(files[0].0, files[0].1, &read, &over, EXCLUSIVE)
+    let overrides = Overrides::new(environment, flags.iter().map(|f| (*f).to_owned()).collect());
+    Layers::load(files[0].0, files[0].1, &read, &overrides, EXCLUSIVE)
 }
 
-fn at(layers: &Layers, key: &str) -> Vec<(String, String)> {
-    let given = layers.values(&key.parse::<Key>().unwrap());
-    given.iter().map(|g| (g.origin.to_string(), g.value.to_string())).collect()
+/// Origin and value of each layer that sets a key, in ascending precedence.
+fn values_of(layers: &Layers, key: &str) -> Vec<(String, String)> {
+    let values = layers.values(&key.parse::<Key>().unwrap());
+    values.iter().map(|v| (v.origin.to_string(), v.value.to_string())).collect()
 }
 
-fn told(files: &[(&str, &str)], environment: &[(&str, &str)], flags: &[&str]) -> String {
-    let faults = gather(files, environment, flags).expect_err("a fault");
-    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+/// The messages of all errors, one per line.
+fn error_text(files: &[(&str, &str)], environment: &[(&str, &str)], flags: &[&str]) -> String {
+    let errors = load(files, environment, flags).expect_err("an error");
+    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
 const BASE: &str = "[rules]\ngrace = \"3s\"\nbudget = { free = 3, span = \"5s\" }\n[[class]]\nname = \"a\"\naim = \"1s\"\n[[class]]\nname = \"b\"\naim = \"2s\"\n";
 const HOST: &str = "include = [\"base.toml\"]\n[rules]\ngrace = \"2s\"\n[[class]]\nname = \"b\"\nworth = 2\n[[class]]\nname = \"c\"\naim = \"9s\"\n";
 
 #[test]
-fn later_layers_hide_earlier_ones_and_each_value_knows_where_it_came_from() {
-    let layers = gather(
+fn later_layers_override_earlier_ones_and_origins_are_recorded() {
+    let layers = load(
         &[("host.toml", HOST), ("base.toml", BASE)],
         &[("PEARFORK__RULES__BUDGET__FREE", "5"), ("PEARFORK__CLASS__A__AIM", "700ms")],
         &["class.a.aim=600ms", "class.c.shards=[1, 2]"],
     )
     .unwrap();
     assert!(!layers.is_single_file());
-    let want: toml::Table = toml::from_str(
+    let expected: toml::Table = toml::from_str(
         "[rules]\ngrace = \"2s\"\nbudget = { free = 5, span = \"5s\" }\n[[class]]\nname = \"a\"\naim = \"600ms\"\n\
          [[class]]\nname = \"b\"\naim = \"2s\"\nworth = 2\n[[class]]\nname = \"c\"\naim = \"9s\"\nshards = [1, 2]\n",
     )
     .unwrap();
-    assert_eq!(layers.merged, want);
-    let own = |pairs: &[(&str, &str)]| -> Vec<(String, String)> {
+    assert_eq!(layers.merged, expected);
+    let owned = |pairs: &[(&str, &str)]| -> Vec<(String, String)> {
         pairs.iter().map(|(a, b)| ((*a).to_owned(), (*b).to_owned())).collect()
     };
     assert_eq!(
-        at(&layers, "rules.grace"),
-        own(&[("base.toml line 2", "\"3s\""), ("host.toml line 3", "\"2s\"")])
+        values_of(&layers, "rules.grace"),
+        owned(&[("base.toml line 2", "\"3s\""), ("host.toml line 3", "\"2s\"")])
     );
     assert_eq!(
-        at(&layers, "class.a.aim"),
-        own(&[
+        values_of(&layers, "class.a.aim"),
+        owned(&[
             ("base.toml line 6", "\"1s\""),
             ("variable PEARFORK__CLASS__A__AIM", "\"700ms\""),
             ("--set class.a.aim=600ms", "\"600ms\"")
         ])
     );
-    assert_eq!(at(&layers, "class.b.worth"), own(&[("host.toml line 6", "2")]));
-    // What is not given stands where its table does.
-    let place = |key: &str| layers.origin(&key.parse().unwrap()).map(ToString::to_string);
-    assert_eq!(place("class.c.deadline").as_deref(), Some("host.toml line 7"));
-    assert_eq!(place("rules.budget.ratio").as_deref(), Some("base.toml line 3"));
-    assert_eq!(place("nowhere.at.all"), None);
+    assert_eq!(values_of(&layers, "class.b.worth"), owned(&[("host.toml line 6", "2")]));
+    // A value that no layer sets has the origin of its table.
+    let origin = |key: &str| layers.origin(&key.parse().unwrap()).map(ToString::to_string);
+    assert_eq!(origin("class.c.deadline").as_deref(), Some("host.toml line 7"));
+    assert_eq!(origin("rules.budget.ratio").as_deref(), Some("base.toml line 3"));
+    assert_eq!(origin("nowhere.at.all"), None);
 }
 
 #[test]
-fn two_of_one_name_in_a_file_both_stay_to_be_refused() {
-    // Danger: merged into one, the file would be taken with a class that its writer never wrote.
-    let twice =
+fn duplicate_names_within_one_file_are_both_kept() {
+    // If the two entries were merged, the file would be accepted with a class that its author never wrote.
+    let duplicate =
         "include = [\"base.toml\"]\n[[class]]\nname = \"a\"\nworth = 1\n[[class]]\nname = \"a\"\nworth = 2\n";
-    let layers = gather(&[("host.toml", twice), ("base.toml", BASE)], &[], &[]).unwrap();
+    let layers = load(&[("host.toml", duplicate), ("base.toml", BASE)], &[], &[]).unwrap();
     let names: Vec<&str> =
         layers.merged["class"].as_array().unwrap().iter().map(|c| c["name"].as_str().unwrap()).collect();
     assert_eq!(names, ["a", "b", "a"]);
-    let alone =
-        gather(&[("host.toml", "[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n")], &[], &[]).unwrap();
-    assert_eq!(alone.merged["class"].as_array().unwrap().len(), 2);
-    assert!(alone.is_single_file());
+    let single =
+        load(&[("host.toml", "[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n")], &[], &[]).unwrap();
+    assert_eq!(single.merged["class"].as_array().unwrap().len(), 2);
+    assert!(single.is_single_file());
 }
 
 #[test]
-fn of_two_ways_to_say_one_thing_the_later_counts() {
+fn the_later_of_two_exclusive_keys_wins() {
     let files = [
         ("host.toml", "include = [\"base.toml\"]\n[match]\nfile = \"x\"\n"),
         ("base.toml", "[match]\nrules = \"r\"\n"),
     ];
     let keys = |l: &Layers| l.merged["match"].as_table().unwrap().keys().cloned().collect::<Vec<_>>();
-    assert_eq!(keys(&gather(&files, &[], &[]).unwrap()), ["file"]);
-    assert_eq!(keys(&gather(&files, &[], &["match.rules=s"]).unwrap()), ["rules"]);
+    assert_eq!(keys(&load(&files, &[], &[]).unwrap()), ["file"]);
+    assert_eq!(keys(&load(&files, &[], &["match.rules=s"]).unwrap()), ["rules"]);
     let both = [("host.toml", "[match]\nfile = \"x\"\nrules = \"r\"\n")];
-    assert_eq!(keys(&gather(&both, &[], &[]).unwrap()), ["file", "rules"]);
+    assert_eq!(keys(&load(&both, &[], &[]).unwrap()), ["file", "rules"]);
 }
 
 #[test]
-fn includes_are_found_beside_their_file_and_each_is_read_once() {
-    let read = RefCell::new(Vec::new());
+fn includes_are_relative_to_the_including_file_and_read_once() {
+    let read_paths = RefCell::new(Vec::new());
     let text = |path: &str| match path {
         "site/a.toml" => "include = [\"../common.toml\", \"./b.toml\"]\nx = 1\n",
         "common.toml" => "x = 2\ny = 2\n",
@@ -108,20 +110,20 @@
         _ => "",
     };
     let reader = |path: &str| {
-        read.borrow_mut().push(path.to_owned());
+        read_paths.borrow_mut().push(path.to_owned());
         Ok(text(path).to_owned())
     };
     let layers =
         Layers::load("host.toml", "include = [\"site/a.toml\"]\n", &reader, &Overrides::default(), &[])
             .unwrap();
     assert_eq!((layers.merged["x"].as_integer(), layers.merged["y"].as_integer()), (Some(1), Some(3)));
-    assert_eq!(*read.borrow(), ["site/a.toml", "common.toml", "site/b.toml"]);
+    assert_eq!(*read_paths.borrow(), ["site/a.toml", "common.toml", "site/b.toml"]);
 }
 
 #[test]
-fn what_can_not_be_taken_is_told_with_its_place() {
-    let own = |text: &'static str| {
-        told(
+fn errors_name_their_origin() {
+    let file_errors = |text: &'static str| {
+        error_text(
             &[
                 ("host.toml", text),
                 ("a.toml", "include = [\"b.toml\"]\n"),
@@ -131,47 +133,50 @@
             &[],
         )
     };
-    assert!(own("x = \n").contains("host.toml: TOML parse error at line 1"), "{}", own("x = \n"));
-    assert!(own("include = \"a.toml\"\n").contains("must be a list of files"));
-    assert!(own("include = [\"a.toml\"]\n").contains("`a.toml` includes itself"));
-    assert!(own("include = [\"host.toml\"]\n").contains("`host.toml` includes itself"));
     assert!(
-        own("include = [\"nowhere.toml\"]\n").contains("nowhere.toml, included by host.toml: no such file")
+        file_errors("x = \n").contains("host.toml: TOML parse error at line 1"),
+        "{}",
+        file_errors("x = \n")
     );
-    let flag = |flag: &str| told(&[("host.toml", BASE)], &[], &[flag]);
+    assert!(file_errors("include = \"a.toml\"\n").contains("must be a list of files"));
+    assert!(file_errors("include = [\"a.toml\"]\n").contains("`a.toml` includes itself"));
+    assert!(file_errors("include = [\"host.toml\"]\n").contains("`host.toml` includes itself"));
+    assert!(file_errors("include = [\"nowhere.toml\"]\n")
+        .contains("nowhere.toml, included by host.toml: no such file"));
+    let flag = |flag: &str| error_text(&[("host.toml", BASE)], &[], &[flag]);
     assert!(flag("rules.grace").contains("--set rules.grace: has no `=`"));
     assert!(flag("ru les=1").contains("names no value"));
     assert!(flag("class.z.aim=1s").contains("there is no class `z`; there are a, b"));
     assert!(flag("class=1").contains("`class` has entries"));
     assert!(flag("rules.grace.more=1").contains("`rules.grace` is a value"));
-    let variable = |name: &str| told(&[("host.toml", BASE)], &[(name, "1")], &[]);
+    let variable = |name: &str| error_text(&[("host.toml", BASE)], &[(name, "1")], &[]);
     assert!(variable("PEARFORK__CLASS__Z__AIM")
         .starts_with("variable PEARFORK__CLASS__Z__AIM: there is no class"));
-    // All of them are told.
-    let both = told(&[("host.toml", BASE)], &[], &["a", "class.z.aim=1"]);
+    // All errors are reported, not just the first.
+    let both = error_text(&[("host.toml", BASE)], &[], &["a", "class.z.aim=1"]);
     assert_eq!(both.lines().count(), 2, "{both}");
 }
 
 #[test]
-fn includes_that_multiply_end_soon() {
-    // Each file includes the next two ways: 2^40 readings if nobody counted.
-    let asked = RefCell::new(0);
+fn exponentially_growing_includes_are_bounded() {
+    // Each file includes two others, which would be 2^40 reads without a limit.
+    let reads = RefCell::new(0);
     let read = |path: &str| {
-        *asked.borrow_mut() += 1;
+        *reads.borrow_mut() += 1;
         let n: usize = path.trim_start_matches('f').trim_end_matches(".toml").parse().unwrap_or(0);
         Ok(format!("include = [\"f{}.toml\", \"f{}.toml\"]\n", 2 * n + 1, 2 * n + 2))
     };
-    let faults = Layers::load("host.toml", "include = [\"f0.toml\"]\n", &read, &Overrides::default(), &[])
-        .expect_err("a fault");
-    assert!(*asked.borrow() < 5_000, "{} readings", asked.borrow());
-    assert!(faults.iter().any(|f| f.to_string().contains("deep")), "{faults:?}");
+    let errors = Layers::load("host.toml", "include = [\"f0.toml\"]\n", &read, &Overrides::default(), &[])
+        .expect_err("an error");
+    assert!(*reads.borrow() < 5_000, "{} reads", reads.borrow());
+    assert!(errors.iter().any(|e| e.to_string().contains("deep")), "{errors:?}");
 }
 
 #[test]
-fn a_variable_finds_names_that_variables_can_not_hold() {
+fn variables_match_names_with_characters_that_variables_cannot_hold() {
     let text = "[[volume]]\nname = \"visit-notes.2\"\nsize = \"1GiB\"\n";
     let layers =
-        gather(&[("host.toml", text)], &[("PEARFORK__VOLUME__VISIT_NOTES_2__SIZE", "2GiB")], &[]).unwrap();
+        load(&[("host.toml", text)], &[("PEARFORK__VOLUME__VISIT_NOTES_2__SIZE", "2GiB")], &[]).unwrap();
     assert_eq!(layers.merged["volume"][0]["size"].as_str(), Some("2GiB"));
     let origin = Origin::Variable("PEARFORK__VOLUME__VISIT_NOTES_2__SIZE".to_owned());
     assert_eq!(layers.origin(&Key::of(&["volume", "visit-notes.2", "size"])), Some(&origin));
@@ -181,25 +186,25 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_given_it_ends_in_a_table_or_in_words(
+    fn reported_values_equal_the_merged_table_for_arbitrary_input(
         main in "[a-c\\[\\]=\"\\n .1{}]{0,40}",
         base in "[a-c\\[\\]=\"\\n .1{}]{0,40}",
         flag in "[a-c.=\"1\\[\\]]{0,12}",
         variable in "P__[A-C_]{0,12}",
     ) {
         let main = format!("include = [\"b\"]\n{main}");
-        if let Ok(layers) = gather(&[("m", &main), ("b", &base)], &[(&variable, &flag)], &[&flag]) {
-            // Every value that is told counts, and is told with the value that it has.
-            for (key, given) in layers.entries() {
-                let mut at = Some(&toml::Value::Table(layers.merged.clone())).cloned();
+        if let Ok(layers) = load(&[("m", &main), ("b", &base)], &[(&variable, &flag)], &[&flag]) {
+            // The last recorded setting of each key is the value in the merged table.
+            for (key, values) in layers.entries() {
+                let mut merged = Some(&toml::Value::Table(layers.merged.clone())).cloned();
                 for part in key.parts() {
-                    at = at.and_then(|v| match v {
+                    merged = merged.and_then(|v| match v {
                         toml::Value::Table(t) => t.get(part).cloned(),
                         toml::Value::Array(a) => a.iter().find(|e| e.get("name").and_then(|n| n.as_str()) == Some(part)).cloned(),
                         _ => None,
                     });
                 }
-                prop_assert_eq!(at.as_ref(), given.last().map(|g| &g.value), "{}", key);
+                prop_assert_eq!(merged.as_ref(), values.last().map(|v| &v.value), "{}", key);
             }
         }
     }
