--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,8 +1,9 @@
-//! Holds settings against the seven rules before a host starts by them. No I/O, no clock.
+//! Checks settings against the seven rules before a host starts. No I/O, no clock.
 //!
-//! The module keeps the rules whatever it is told: a second copy of what must not run twice is never sent, an attempt
-//! beyond the budget waits. What it can't do is tell an operator that the file asks for something that will never
-//! happen, or that leaves a rule no room. That is told here, with the rule, what is asked, and what would be accepted.
+//! The scheduler keeps the rules under any settings: it never hedges a request that must not run twice, and a
+//! retry beyond the budget waits. It cannot tell an operator that the settings ask for something that will
+//! never happen, or that leaves a rule no room. This crate reports such settings with the rule, the problem,
+//! and what would be accepted instead.
 //!
 //! ```
 //! # use pearfork::*;
@@ -15,8 +16,8 @@
 //! let attempt_policy = AttemptPolicy { hedge_after_ms: 50.0, ..AttemptPolicy::default() };
 //! let class = Class { aim_ms: 100.0, deadline_ms: 1000.0, worth: 1.0, late_worth: 0.0, effect: Effect::Unsafe,
 //!     group: Group::All, window_ms: 0.0, ordered: false, attempt_policy };
-//! let refusals = pearfork_terms::check(&with(class), &["booking"]);
-//! assert_eq!(refusals[0].rule, pearfork_terms::Rule::NoEffectTwice);
+//! let violations = pearfork_terms::check(&with(class), &["booking"]);
+//! assert_eq!(violations[0].rule, pearfork_terms::Rule::NoEffectTwice);
 //! ```
 
 mod class;
@@ -24,27 +25,27 @@
 
 use pearfork::Settings;
 
-/// The seven rules, by their order in the brief.
+/// The seven rules, in the order of their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request taken gets one final answer in time.
+    /// Rule 1: each accepted request gets exactly one final answer in time.
     OneAnswer,
-    /// No effect takes place twice.
+    /// Rule 2: no effect takes place twice.
     NoEffectTwice,
-    /// Nothing new goes to a node past the grace of its drain.
+    /// Rule 3: no new attempt is sent to a draining node after its grace period.
     Drains,
-    /// A cold node is not pushed over.
+    /// Rule 4: a cold node is not overloaded.
     ColdNodes,
-    /// Requests on one extent run in order where their class asks for it.
+    /// Rule 5: requests of an ordered class run in order on each extent.
     Order,
-    /// Further attempts stay within a budget.
+    /// Rule 6: retries and hedges stay within a budget.
     RetryBudget,
-    /// All hosts together keep the limits of a volume.
+    /// Rule 7: all hosts together keep the limits of a volume.
     Limits,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in order.
     pub const ALL: [Rule; 7] = [
         Rule::OneAnswer,
         Rule::NoEffectTwice,
@@ -70,34 +71,35 @@
     }
 }
 
-/// Where in the settings something stands.
+/// The part of the settings that a violation is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// A class or route, by position.
+    /// A class or route, by index.
     Class(usize),
-    /// A plan, by position.
+    /// A plan, by index.
     Plan(usize),
-    /// The figures for all.
+    /// The settings that apply to all classes.
     Rules,
 }
 
-/// Something that is asked and can't be had.
+/// A setting that conflicts with one of the rules.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{rule}: {problem}; accepted: {accepted}")]
 pub struct Violation {
-    /// The rule that stands against it.
+    /// The rule that the setting conflicts with.
     pub rule: Rule,
-    /// Where it is asked.
+    /// The part of the settings that contains it.
     pub entry: Entry,
-    /// The key of the settings file.
+    /// The key in the settings file.
     pub key: &'static str,
-    /// What is wrong, in plain words.
+    /// Description of the conflict.
     pub problem: String,
-    /// What would be accepted.
+    /// What would be accepted instead.
     pub accepted: String,
 }
 
-/// All refusals, in the order of the rules and then of the entries. `names` are those of the classes, for the words.
+/// Returns all violations, sorted by rule and then in the order of the entries. `names` holds the names of
+/// the classes for use in the messages.
 pub fn check(settings: &Settings, names: &[impl AsRef<str>]) -> Vec<Violation> {
     let mut out = Vec::new();
     for (i, class) in settings.classes.iter().enumerate() {
@@ -112,8 +114,8 @@
     out
 }
 
-/// Milliseconds as a settings file writes them.
+/// Formats milliseconds as in a settings file.
 fn ms(v: f64) -> String {
-    // To the microsecond: a sum of figures of the file must not show the noise of its last bits.
+    // Rounds to microseconds, so that sums of configured values do not show floating-point noise.
     format!("{}ms", (v * 1e3).round() / 1e3)
 }
--- a/crates/terms/tests/violations.rs
+++ b/crates/terms/tests/violations.rs
@@ -1,4 +1,5 @@
-//! Each thing that can't be had is refused under its rule, and what is said to be accepted is.
+//! Settings that conflict with a rule are reported under it, and what the message says is accepted is
+//! accepted.
 
 use pearfork::{AttemptPolicy, Class, Effect, Group, Plan, RetryBudget, Settings};
 use pearfork_terms::{check, Entry, Rule, Violation};
@@ -60,16 +61,16 @@
     check(&s, &["roster-read", "visit-note"])
 }
 
-/// One change, one refusal.
-fn one(change: impl FnOnce(&mut Settings)) -> (Rule, &'static str, String) {
-    let mut told = violations(change);
-    assert_eq!(told.len(), 1, "{told:#?}");
-    let r = told.remove(0);
-    (r.rule, r.key, r.to_string())
+/// The rule, key and message of a change that must cause exactly one violation.
+fn single_violation(change: impl FnOnce(&mut Settings)) -> (Rule, &'static str, String) {
+    let mut found = violations(change);
+    assert_eq!(found.len(), 1, "{found:#?}");
+    let v = found.remove(0);
+    (v.rule, v.key, v.to_string())
 }
 
 #[test]
-fn what_can_be_had_is_not_refused() {
+fn valid_settings_have_no_violations() {
     assert_eq!(violations(|_| {}), []);
     assert_eq!(violations(|s| s.classes[0].attempt_policy.hedge_after_ms = 80.0), []);
     assert_eq!(
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn each_refusal_names_its_rule_its_key_and_what_would_do() {
+fn each_violation_names_its_rule_key_and_accepted_value() {
     use Rule::*;
     type Change = fn(&mut Settings);
     let cases: Vec<(Change, Rule, &str, &str)> = vec![
@@ -124,98 +125,99 @@
     ];
     for (n, (change, rule, key, accepted)) in cases.into_iter().enumerate() {
         if key.is_empty() {
-            // Without a time-out, further attempts of what must not run twice are those that never ran.
+            // Without an attempt time-out, an unsafe request is only retried if the first attempt never ran.
             assert_eq!(violations(change), []);
             continue;
         }
-        let (told_rule, told_key, words) = one(change);
-        // A deadline of 1000 ms and five attempts of 200 ms fit exactly.
-        assert_eq!((told_rule, told_key), (rule, key), "case {n}: {words}");
-        assert!(words.contains(accepted) && words.contains(&rule.to_string()), "case {n}: {words}");
+        let (found_rule, found_key, message) = single_violation(change);
+        // Five attempts of 200 ms fit exactly into a deadline of 1000 ms.
+        assert_eq!((found_rule, found_key), (rule, key), "case {n}: {message}");
+        assert!(message.contains(accepted) && message.contains(&rule.to_string()), "case {n}: {message}");
     }
 }
 
 #[test]
-fn second_copies_are_refused_where_repeats_are_not_permitted() {
+fn hedging_is_rejected_where_repeats_are_not_permitted() {
     let rules = |change: fn(&mut Settings)| {
-        let told = violations(|s| {
+        let found = violations(|s| {
             s.classes[0].attempt_policy.hedge_after_ms = 80.0;
             change(s);
         });
-        told.into_iter().map(|r| (r.rule, r.key)).collect::<Vec<_>>()
+        found.into_iter().map(|v| (v.rule, v.key)).collect::<Vec<_>>()
     };
-    let second = "second_copy_after";
-    assert!(rules(|s| s.classes[0].effect = Effect::Unsafe).contains(&(Rule::NoEffectTwice, second)));
-    assert_eq!(rules(|s| s.classes[0].ordered = true), [(Rule::Order, second)]);
-    assert_eq!(rules(|s| s.hedging = false), [(Rule::RetryBudget, second)]);
-    assert_eq!(rules(|s| s.retry_budget = None), [(Rule::RetryBudget, second)]);
-    assert_eq!(rules(|s| s.classes[0].attempt_policy.attempts = 1), [(Rule::RetryBudget, second)]);
-    let broke =
+    let key = "second_copy_after";
+    assert!(rules(|s| s.classes[0].effect = Effect::Unsafe).contains(&(Rule::NoEffectTwice, key)));
+    assert_eq!(rules(|s| s.classes[0].ordered = true), [(Rule::Order, key)]);
+    assert_eq!(rules(|s| s.hedging = false), [(Rule::RetryBudget, key)]);
+    assert_eq!(rules(|s| s.retry_budget = None), [(Rule::RetryBudget, key)]);
+    assert_eq!(rules(|s| s.classes[0].attempt_policy.attempts = 1), [(Rule::RetryBudget, key)]);
+    let exhausted_budget =
         |s: &mut Settings| s.retry_budget = Some(RetryBudget { free: 0.5, ratio: 0.0, span_ms: 1000.0 });
-    assert!(rules(broke).iter().all(|r| r.0 == Rule::RetryBudget));
-    let keyed = |s: &mut Settings| (s.classes[0].effect, s.classes[0].window_ms) = (Effect::Keyed, 85.0);
-    assert!(rules(keyed).contains(&(Rule::NoEffectTwice, second)));
+    assert!(rules(exhausted_budget).iter().all(|r| r.0 == Rule::RetryBudget));
+    let short_window =
+        |s: &mut Settings| (s.classes[0].effect, s.classes[0].window_ms) = (Effect::Keyed, 85.0);
+    assert!(rules(short_window).contains(&(Rule::NoEffectTwice, key)));
 }
 
 #[test]
-fn all_refusals_are_told_at_once_in_the_order_of_the_rules() {
-    let told = violations(|s| {
+fn all_violations_are_reported_in_the_order_of_the_rules() {
+    let found = violations(|s| {
         s.plans[0].burst = 1.0;
         s.cold_units = 1.0;
         s.classes[1].attempt_policy.attempts = 9;
         s.classes[0].aim_ms = 5000.0;
     });
-    let rules: Vec<Rule> = told.iter().map(|r| r.rule).collect();
+    let rules: Vec<Rule> = found.iter().map(|r| r.rule).collect();
     let mut sorted = rules.clone();
     sorted.sort();
     assert_eq!(rules, sorted);
     assert!(
-        told.iter().any(|r| r.entry == Entry::Plan(0)) && told.iter().any(|r| r.entry == Entry::Class(1))
+        found.iter().any(|v| v.entry == Entry::Plan(0)) && found.iter().any(|v| v.entry == Entry::Class(1))
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(2000) })]
 
-    /// What is not refused can happen: the last attempt begins and ends within the deadline, a keyed one within its
-    /// window, a second copy while the first is out.
+    /// In accepted settings the last attempt begins and ends within the deadline, a keyed one begins within
+    /// its window, and a hedge is sent while the first attempt is still in flight.
     #[test]
-    fn what_is_not_refused_can_happen(
-        attempt in prop_oneof![Just(0.0), 1.0f64..1500.0], attempts in 0u32..7, pause in 0.0f64..400.0, spread in 0.0f64..200.0,
-        second in prop_oneof![Just(0.0), 1.0f64..1500.0], effect in 0usize..3, window in 0.0f64..2000.0, max in 1u32..6,
-        budget in proptest::option::of((0.0f64..3.0, 0.0f64..0.2)), copies: bool, ordered: bool,
+    fn accepted_attempt_policies_are_feasible(
+        timeout in prop_oneof![Just(0.0), 1.0f64..1500.0], attempts in 0u32..7, delay in 0.0f64..400.0, jitter in 0.0f64..200.0,
+        hedge_after in prop_oneof![Just(0.0), 1.0f64..1500.0], effect in 0usize..3, window in 0.0f64..2000.0, max in 1u32..6,
+        budget in proptest::option::of((0.0f64..3.0, 0.0f64..0.2)), hedging: bool, ordered: bool,
     ) {
         let mut s = good();
         s.max_attempts = max;
-        s.hedging = copies;
+        s.hedging = hedging;
         s.retry_budget = budget.map(|(free, ratio)| RetryBudget { free, ratio, span_ms: 1000.0 });
         let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][effect];
-        let attempt_policy = AttemptPolicy { attempt_timeout_ms: attempt, attempts, retry_delay_ms: pause, retry_jitter_ms: spread, hedge_after_ms: second };
+        let attempt_policy = AttemptPolicy { attempt_timeout_ms: timeout, attempts, retry_delay_ms: delay, retry_jitter_ms: jitter, hedge_after_ms: hedge_after };
         s.classes = vec![Class { window_ms: window, ordered, attempt_policy, ..class(effect) }];
         if check(&s, &["drawn"]).is_empty() {
-            let last = f64::from(attempts.saturating_sub(1)) * (attempt + pause + spread);
+            let last = f64::from(attempts.saturating_sub(1)) * (timeout + delay + jitter);
             if attempts > 1 {
-                prop_assert!(last + attempt <= 1000.0, "the last attempt ends after the deadline");
-                prop_assert!(effect != Effect::Keyed || attempt == 0.0 || last < window, "past the window");
+                prop_assert!(last + timeout <= 1000.0, "the last attempt ends after the deadline");
+                prop_assert!(effect != Effect::Keyed || timeout == 0.0 || last < window, "past the window");
                 prop_assert!(attempts <= max);
             }
-            if second > 0.0 {
-                prop_assert!(copies && effect != Effect::Unsafe && !ordered && budget.is_some());
-                prop_assert!(second < 1000.0 && (attempt == 0.0 || second < attempt));
+            if hedge_after > 0.0 {
+                prop_assert!(hedging && effect != Effect::Unsafe && !ordered && budget.is_some());
+                prop_assert!(hedge_after < 1000.0 && (timeout == 0.0 || hedge_after < timeout));
             }
         }
     }
 
     #[test]
-    fn no_figures_make_it_panic(figures in proptest::collection::vec(any::<f64>(), 12), counts: [u32; 4]) {
+    fn arbitrary_numbers_do_not_panic(numbers in proptest::collection::vec(any::<f64>(), 12), counts: [u32; 4]) {
         let mut s = good();
-        let f = |n: usize| figures[n];
+        let f = |n: usize| numbers[n];
         (s.round_ms, s.drain_grace_ms, s.cold_from, s.fall_multiple, s.cold_units, s.max_units) =
             (f(0), f(1), f(2), f(3), f(4), f(5));
         (s.hosts, s.max_attempts) = (counts[0], counts[1]);
         s.classes[0].attempt_policy = AttemptPolicy { attempt_timeout_ms: f(6), attempts: counts[2], retry_delay_ms: f(7), retry_jitter_ms: f(8), hedge_after_ms: f(9) };
         (s.classes[1].window_ms, s.plans[0].burst) = (f(10), f(11));
         s.classes[1].attempt_policy.attempts = counts[3];
-        check(&s, &["one"]).iter().for_each(|r| drop(r.to_string()));
+        check(&s, &["one"]).iter().for_each(|v| drop(v.to_string()));
     }
 }
