--- a/crates/match/src/ast.rs
+++ b/crates/match/src/ast.rs
@@ -1,5 +1,5 @@
-//! The untyped syntax tree. Operators of equal precedence form flat lists, so that only brackets, `not` and `if`
-//! add to the depth of the tree.
+//! The untyped syntax tree. Operators of equal precedence form flat lists, so that only brackets, `not` and
+//! `if` add to the depth of the tree.
 
 use crate::diagnostic::Span;
 
@@ -11,7 +11,8 @@
 }
 
 impl Expr {
-    /// A canonical text without spans: equal for expressions that differ only in white space, comments and brackets.
+    /// A canonical text without spans: equal for expressions that differ only in white space, comments and
+    /// brackets.
     pub(crate) fn shape(&self) -> String {
         let all = |exprs: &[Expr]| exprs.iter().map(Expr::shape).collect::<Vec<_>>().join(" ");
         match &self.kind {
--- a/crates/match/src/compile.rs
+++ b/crates/match/src/compile.rs
@@ -1,35 +1,36 @@
-//! Types, names and constants; a tree that passes becomes operations.
+//! The type checker and code generator: resolves names, checks types and constants, and emits bytecode.
 
 use crate::ast::{ArithOp, Comparison, Expr, ExprKind};
 use crate::diagnostic::{closest_match, Diagnostic, Span};
 use crate::program::{Constant, Glob, Op, Program, Set, Type, FIELDS, MAX_LETS, MAX_STACK};
 use std::collections::{HashMap, HashSet};
 
-/// What requests may be, for comparisons that can never hold.
+/// The possible values of `op` and `direction`; a comparison with any other value can never be true.
 pub(crate) const OPERATIONS: [&str; 5] = ["read", "write", "verify", "flush", "compare-and-write"];
 pub(crate) const DIRECTIONS: [&str; 3] = ["in", "out", "none"];
 const FUNCTIONS: [&str; 5] = ["starts_with", "ends_with", "contains", "glob", "hash"];
-/// Values that `hash` takes at the most.
+/// Maximum number of arguments of `hash`.
 const MAX_HASH_ARGUMENTS: usize = 8;
 
-/// Turns trees into operations; faults are gathered, and what is wrong has no type.
+/// Compiles expressions and collects diagnostics. An invalid expression has no type, so that it causes no
+/// further diagnostics.
 #[derive(Default)]
 pub(crate) struct Compiler {
     pub(crate) program: Program,
     pub(crate) diagnostics: Vec<Diagnostic>,
     lets: HashMap<String, (u16, Option<Type>, Span)>,
-    /// Names that the whole file gives.
+    /// All names that the file defines, including those defined later.
     all_names: HashSet<String>,
     depth: usize,
 }
 
 impl Compiler {
-    /// For a file that gives these names.
+    /// Creates a compiler for a file that defines these names.
     pub(crate) fn new(names: impl Iterator<Item = String>) -> Compiler {
         Compiler { all_names: names.collect(), ..Compiler::default() }
     }
 
-    /// Compiles a named value.
+    /// Compiles a `let` definition.
     pub(crate) fn add_let(&mut self, name: &str, span: Span, value: &Expr) {
         if FIELDS.iter().any(|f| f.0 == name) || FUNCTIONS.contains(&name) {
             self.diagnostics
@@ -44,28 +45,28 @@
             let message = format!("more than {MAX_LETS} `let` definitions");
             return self.diagnostics.push(Diagnostic::new(span, message));
         }
-        let (from, t) = self.expression(value);
-        self.program.lets.push(from);
+        let (entry, t) = self.compile_expression(value);
+        self.program.lets.push(entry);
         self.lets.insert(name.to_owned(), (slot as u16, t, span));
     }
 
-    /// Compiles an expression that must be of one of some types; where its operations begin.
-    pub(crate) fn compile_typed(&mut self, e: &Expr, wanted: &[Type]) -> u32 {
-        let (from, t) = self.expression(e);
-        if let Some(t) = t.filter(|t| !wanted.contains(t)) {
-            let words: Vec<String> = wanted.iter().map(Type::to_string).collect();
+    /// Compiles an expression that must have one of the expected types, and returns its first instruction.
+    pub(crate) fn compile_typed(&mut self, e: &Expr, expected: &[Type]) -> u32 {
+        let (entry, t) = self.compile_expression(e);
+        if let Some(t) = t.filter(|t| !expected.contains(t)) {
+            let names: Vec<String> = expected.iter().map(Type::to_string).collect();
             self.diagnostics
-                .push(Diagnostic::new(e.span, format!("expected {}, found {t}", words.join(" or "))));
+                .push(Diagnostic::new(e.span, format!("expected {}, found {t}", names.join(" or "))));
         }
-        from
+        entry
     }
 
-    fn expression(&mut self, e: &Expr) -> (u32, Option<Type>) {
-        let from = self.program.ops.len() as u32;
+    fn compile_expression(&mut self, e: &Expr) -> (u32, Option<Type>) {
+        let entry = self.program.ops.len() as u32;
         self.depth = 0;
         let t = self.emit(e);
         self.push(e.span, Op::End);
-        (from, t)
+        (entry, t)
     }
 
     fn error<T>(&mut self, span: Span, message: impl Into<String>) -> Option<T> {
@@ -73,7 +74,7 @@
         None
     }
 
-    /// One more value on the stack.
+    /// Counts a value pushed on the stack, and reports an error when the maximum depth is exceeded.
     fn push_depth(&mut self, span: Span) {
         self.depth += 1;
         if self.depth == MAX_STACK + 1 {
@@ -118,7 +119,9 @@
             ExprKind::Compare(c, a, b) => self.emit_comparison(e.span, *c, a, b),
             ExprKind::In(value, items) => self.emit_in(e.span, value, items),
             ExprKind::Chain(first, rest) => self.emit_chain(e, first, rest),
-            ExprKind::If(test, yes, no) => self.emit_if(test, yes, no),
+            ExprKind::If(condition, then_value, else_value) => {
+                self.emit_if(condition, then_value, else_value)
+            }
             ExprKind::Call(name, arguments) => self.emit_call(e.span, name, arguments),
             ExprKind::Invalid => {
                 self.push_depth(e.span);
@@ -134,8 +137,8 @@
             return Some(*t);
         }
         if let Some((slot, t, _)) = self.lets.get(name).copied() {
-            let from = self.program.lets[usize::from(slot)] as usize;
-            let constant = match self.program.ops.get(from..from + 2) {
+            let entry = self.program.lets[usize::from(slot)] as usize;
+            let constant = match self.program.ops.get(entry..entry + 2) {
                 Some([Op::Const(c), Op::End]) => Some(Op::Const(*c)),
                 _ => None,
             };
@@ -161,30 +164,31 @@
         }
     }
 
-    fn emit_logical(&mut self, terms: &[Expr], keep: fn(u32) -> Op) -> Option<Type> {
+    fn emit_logical(&mut self, terms: &[Expr], jump: fn(u32) -> Op) -> Option<Type> {
         let mut jumps = Vec::new();
         for (i, term) in terms.iter().enumerate() {
             if i > 0 {
                 jumps.push(self.program.ops.len());
-                self.push(term.span, keep(0));
+                self.push(term.span, jump(0));
                 self.depth -= 1;
             }
             let t = self.emit(term);
             self.expect_bool(term, t);
         }
         let end = self.program.ops.len() as u32;
-        jumps.into_iter().for_each(|j| self.program.ops[j] = keep(end));
+        jumps.into_iter().for_each(|j| self.program.ops[j] = jump(end));
         Some(Type::Bool)
     }
 
     fn emit_comparison(&mut self, span: Span, c: Comparison, a: &Expr, b: &Expr) -> Option<Type> {
-        let (ta, tb) = (self.emit(a), self.emit(b));
+        let (left_type, right_type) = (self.emit(a), self.emit(b));
         self.depth -= 1;
-        let text = ta == Some(Type::Text);
-        // Danger: a field may be the end of a longer left side, and a jump may lead behind it.
-        let bare = matches!(a.kind, ExprKind::Name(_));
+        let text = left_type == Some(Type::Text);
+        // Only a left operand that is a field by itself may be merged with the comparison: the last field of
+        // a longer expression may be the target of a jump.
+        let is_field = matches!(a.kind, ExprKind::Name(_));
         match self.program.ops[..] {
-            [.., Op::Field(field), Op::Const(constant)] if bare => {
+            [.., Op::Field(field), Op::Const(constant)] if is_field => {
                 let shorter = self.program.ops.len() - 2;
                 self.program.ops.truncate(shorter);
                 self.program.spans.truncate(shorter);
@@ -193,13 +197,14 @@
             }
             _ => self.push(span, if text { Op::CompareText(c) } else { Op::Compare(c) }),
         }
-        if let (Some(ta), Some(tb)) = (ta, tb) {
+        if let (Some(left_type), Some(right_type)) = (left_type, right_type) {
             let ordered = !matches!(c, Comparison::Equal | Comparison::Unequal);
-            if ta != tb {
-                let diagnostic = Diagnostic::new(b.span, format!("{ta} is compared with {tb}"));
-                self.diagnostics.push(diagnostic.label(a.span, format!("this is {ta}")));
-            } else if ordered && matches!(ta, Type::Text | Type::Bool) {
-                self.error::<()>(span, format!("{ta} cannot be ordered; only `==` and `!=` apply"));
+            if left_type != right_type {
+                let diagnostic =
+                    Diagnostic::new(b.span, format!("{left_type} is compared with {right_type}"));
+                self.diagnostics.push(diagnostic.label(a.span, format!("this is {left_type}")));
+            } else if ordered && matches!(left_type, Type::Text | Type::Bool) {
+                self.error::<()>(span, format!("{left_type} cannot be ordered; only `==` and `!=` apply"));
             }
         }
         self.check_known_values(a, std::slice::from_ref(b));
@@ -207,22 +212,23 @@
         Some(Type::Bool)
     }
 
-    /// `op` and `direction` have few values: a mistyped one would make a rule that never matches.
+    /// Reports comparisons of `op` or `direction` with an unknown value, since a mistyped one would make a
+    /// row that never matches.
     fn check_known_values(&mut self, field: &Expr, values: &[Expr]) {
         let (name, known): (&str, &[&str]) = match &field.kind {
             ExprKind::Name(n) if n == "op" => (n, &OPERATIONS),
             ExprKind::Name(n) if n == "direction" => (n, &DIRECTIONS),
             _ => return,
         };
-        for v in values {
-            if let ExprKind::Text(t) = &v.kind {
+        for value in values {
+            if let ExprKind::Text(t) = &value.kind {
                 if !known.contains(&t.as_str()) {
                     let help = match closest_match(t, known.iter().copied()) {
                         Some(n) => format!("did you mean \"{n}\"?"),
                         None => format!("it is one of {}", known.join(", ")),
                     };
                     self.diagnostics
-                        .push(Diagnostic::new(v.span, format!("`{name}` is never \"{t}\"")).help(help));
+                        .push(Diagnostic::new(value.span, format!("`{name}` is never \"{t}\"")).help(help));
                 }
             }
         }
@@ -232,7 +238,7 @@
         let t = self.emit(value);
         let (mut ints, mut texts) = (Vec::new(), Vec::new());
         for item in items {
-            let (ti, constant) = match &item.kind {
+            let (item_type, constant) = match &item.kind {
                 ExprKind::Int(n) => (Type::Int, Ok(*n)),
                 ExprKind::Size(n) => (Type::Size, Ok(*n)),
                 ExprKind::Duration(n) => (Type::Duration, Ok(*n)),
@@ -243,8 +249,11 @@
                     continue;
                 }
             };
-            if let Some(t) = t.filter(|t| *t != ti) {
-                self.error::<()>(item.span, format!("expected {t}, like the value before `in`, found {ti}"));
+            if let Some(t) = t.filter(|t| *t != item_type) {
+                self.error::<()>(
+                    item.span,
+                    format!("expected {t}, like the value before `in`, found {item_type}"),
+                );
             }
             match constant {
                 Ok(n) => ints.push(n),
@@ -265,13 +274,13 @@
         }
         let mut t = self.emit(first);
         for (op, term) in rest {
-            let tt = self.emit(term);
+            let term_type = self.emit(term);
             self.depth -= 1;
             self.push(first.span.to(term.span), Op::Arith(*op));
             if matches!(op, ArithOp::Div | ArithOp::Rem) && fold_constant(term) == Ok(Some(0)) {
                 self.error::<()>(term.span, "division by zero");
             }
-            t = match (t, tt) {
+            t = match (t, term_type) {
                 (Some(a), Some(b)) => match result_type(*op, a, b) {
                     Some(t) => Some(t),
                     None => self.error(
@@ -285,26 +294,26 @@
         t
     }
 
-    fn emit_if(&mut self, test: &Expr, yes: &Expr, no: &Expr) -> Option<Type> {
-        let t = self.emit(test);
-        self.expect_bool(test, t);
-        let unless = self.program.ops.len();
-        self.push(test.span, Op::PopJumpIfFalse(0));
+    fn emit_if(&mut self, condition: &Expr, then_value: &Expr, else_value: &Expr) -> Option<Type> {
+        let t = self.emit(condition);
+        self.expect_bool(condition, t);
+        let condition_jump = self.program.ops.len();
+        self.push(condition.span, Op::PopJumpIfFalse(0));
         self.depth -= 1;
-        let ty = self.emit(yes);
+        let then_type = self.emit(then_value);
         let jump = self.program.ops.len();
-        self.push(yes.span, Op::Jump(0));
+        self.push(then_value.span, Op::Jump(0));
         self.depth -= 1;
-        self.program.ops[unless] = Op::PopJumpIfFalse(self.program.ops.len() as u32);
-        let tn = self.emit(no);
+        self.program.ops[condition_jump] = Op::PopJumpIfFalse(self.program.ops.len() as u32);
+        let else_type = self.emit(else_value);
         self.program.ops[jump] = Op::Jump(self.program.ops.len() as u32);
-        match (ty, tn) {
+        match (then_type, else_type) {
             (Some(a), Some(b)) if a != b => {
                 let diagnostic = Diagnostic::new(
-                    no.span,
+                    else_value.span,
                     format!("the branches of `if` have different types: {a} and {b}"),
                 );
-                self.diagnostics.push(diagnostic.label(yes.span, format!("this is {a}")));
+                self.diagnostics.push(diagnostic.label(then_value.span, format!("this is {a}")));
                 None
             }
             (a, b) => a.or(b),
@@ -324,9 +333,10 @@
             return Some(Type::Int);
         }
         if !FUNCTIONS.contains(&name) {
-            let near = closest_match(name, FUNCTIONS.into_iter()).map(|n| format!("did you mean `{n}`?"));
+            let suggestion =
+                closest_match(name, FUNCTIONS.into_iter()).map(|n| format!("did you mean `{n}`?"));
             self.diagnostics.push(Diagnostic {
-                help: near,
+                help: suggestion,
                 ..Diagnostic::new(span, format!("unknown function `{name}`"))
             });
             self.push_depth(span);
@@ -363,6 +373,7 @@
     }
 }
 
+/// The type of an arithmetic operation; `None` if the operator does not apply to the operand types.
 fn result_type(op: ArithOp, a: Type, b: Type) -> Option<Type> {
     use Type::{Duration, Int, Size};
     match (op, a, b) {
@@ -378,7 +389,10 @@
     }
 }
 
-/// The value of an expression of constants; a fault where it leaves the range.
+/// The value of a constant expression, `None` if it is not constant.
+///
+/// # Errors
+/// The value overflows 64 bits.
 fn fold_constant(e: &Expr) -> Result<Option<i64>, Diagnostic> {
     match &e.kind {
         ExprKind::Int(n) | ExprKind::Size(n) | ExprKind::Duration(n) => Ok(Some(*n)),
--- a/crates/match/src/coverage.rs
+++ b/crates/match/src/coverage.rs
@@ -1,4 +1,5 @@
-//! Rows that can never match, and what an operation may reach: which requests are left when earlier rows had theirs.
+//! Coverage analysis: finds rows that can never match and the rows that an operation may reach, by
+//! subtracting the regions of earlier rows.
 
 use crate::ast::Row;
 use crate::diagnostic::{Diagnostic, Span};
@@ -7,58 +8,64 @@
 use crate::region::{all_requests, Cell, Region};
 use std::collections::BTreeMap;
 
-/// Pieces into which what is left of one row may fall; beyond it the question is left open.
+/// Maximum number of cells that the uncovered part of one row may have; beyond it no warning is given.
 const MAX_REMAINING_CELLS: usize = 64;
-/// Pieces of domains that are handled for one row, and for a whole list; beyond it the question is left open.
+/// Maximum number of domain pieces that are processed for one row; beyond it no warning is given for the row.
 const MAX_WORK_PER_ROW: usize = 30_000;
+/// Maximum number of domain pieces that are processed for a list; beyond it later rows are not compared with
+/// the earlier ones.
 const MAX_WORK: usize = 1_000_000;
 
-/// Earlier rows that a warning names at the most.
+/// Maximum number of earlier rows that a warning labels.
 const MAX_LABELS: usize = 4;
 
-/// Takes the requests of exact rows away from cells.
+/// The requests of a row that earlier rows do not cover.
 struct Remaining {
     cells: Vec<Cell>,
+    /// Domain pieces processed so far.
     work: usize,
 }
 
 impl Remaining {
-    /// Whether some were taken; `None` where it can't be told any more.
+    /// Subtracts a region if it is exact. Returns whether any cell was affected; `None` if a limit was
+    /// exceeded.
     fn subtract(&mut self, region: &Region) -> Option<bool> {
-        let mut taken = false;
+        let mut affected = false;
         for removed in region.cells.iter().filter(|_| region.exact) {
-            let mut left = Vec::with_capacity(self.cells.len());
+            let mut rest = Vec::with_capacity(self.cells.len());
             for cell in std::mem::take(&mut self.cells) {
                 self.work += 1;
                 if cell.may_intersect(removed) {
                     self.work += cell.pieces() + removed.pieces();
-                    left.extend(cell.difference(removed));
-                    taken = true;
+                    rest.extend(cell.difference(removed));
+                    affected = true;
                 } else {
-                    left.push(cell);
+                    rest.push(cell);
                 }
             }
-            self.cells = left;
+            self.cells = rest;
             if self.cells.len() > MAX_REMAINING_CELLS || self.work > MAX_WORK_PER_ROW {
                 return None;
             }
         }
-        Some(taken)
+        Some(affected)
     }
 }
 
-/// Earlier rows by the values that they ask of one field, so that a row is held against those that it may meet.
+/// An index of earlier rows by the values of one field, so that a row is only compared with rows that it may
+/// overlap.
 struct RowIndex {
     field: Field,
     by_value: BTreeMap<Pattern, Vec<usize>>,
-    /// Rows that ask for no value.
+    /// Rows that do not enumerate values of the field.
     unenumerated: Vec<usize>,
 }
 
 impl RowIndex {
     fn new(regions: &[Region]) -> RowIndex {
-        let asking = |f: Field| regions.iter().filter(|r| enumerated_values(r, f).is_some()).count();
-        let field = FIELDS.iter().map(|f| f.1).max_by_key(|f| asking(*f)).unwrap_or(Field::Op);
+        let enumerating_rows =
+            |f: Field| regions.iter().filter(|r| enumerated_values(r, f).is_some()).count();
+        let field = FIELDS.iter().map(|f| f.1).max_by_key(|f| enumerating_rows(*f)).unwrap_or(Field::Op);
         RowIndex { field, by_value: BTreeMap::new(), unenumerated: Vec::new() }
     }
 
@@ -71,7 +78,7 @@
         }
     }
 
-    /// Rows that may share a request with this region, in order.
+    /// Rows that may overlap a region, in order.
     fn candidates(&self, region: &Region) -> Vec<usize> {
         let mut rows = self.unenumerated.clone();
         match enumerated_values(region, self.field) {
@@ -86,7 +93,7 @@
     }
 }
 
-/// Values of a field that every cell of a region names one by one.
+/// The values of a field in a region, if every cell enumerates them.
 fn enumerated_values(region: &Region, field: Field) -> Option<Vec<Pattern>> {
     let mut out = Vec::new();
     for cell in &region.cells {
@@ -103,7 +110,7 @@
     Some(out)
 }
 
-/// A warning for each row that no request can reach, as far as it can be told.
+/// Returns a warning for each row that provably never matches.
 pub(crate) fn unreachable_rows(rows: &[Row], regions: &[Region]) -> Vec<Diagnostic> {
     let mut out = Vec::new();
     let all = all_requests();
@@ -111,10 +118,10 @@
     let mut same: BTreeMap<String, usize> = BTreeMap::new();
     let (mut work, mut catch_all) = (0, None::<usize>);
     for (i, (row, region)) in rows.iter().zip(regions).enumerate() {
-        let mut warn = |why: &str, because: &[usize], label: &str| {
-            let told = Diagnostic::new(row.span, format!("this row never matches: {why}"));
-            let spans = because.iter().take(MAX_LABELS).map(|r| rows[*r].span);
-            out.push(spans.fold(told, |f, p: Span| f.label(p, label)));
+        let mut warn = |reason: &str, earlier_rows: &[usize], label: &str| {
+            let warning = Diagnostic::new(row.span, format!("this row never matches: {reason}"));
+            let spans = earlier_rows.iter().take(MAX_LABELS).map(|r| rows[*r].span);
+            out.push(spans.fold(warning, |f, p: Span| f.label(p, label)));
         };
         if let Some(before) = catch_all {
             warn("an earlier row matches all requests", &[before], "matches all remaining requests");
@@ -130,26 +137,26 @@
             warn("its condition is never true", &[], "");
             continue;
         }
-        let mut left = Remaining { cells, work: 0 };
-        let mut taken = Vec::new();
-        // Who writes `otherwise` must; whether anything is left for it is not asked.
+        let mut remaining = Remaining { cells, work: 0 };
+        let mut covering = Vec::new();
+        // `otherwise` is mandatory, so that it is not checked for remaining requests.
         if row.condition.is_some() && work < MAX_WORK {
             let rows = earlier.candidates(region);
             work += rows.len();
             for r in rows {
-                match left.subtract(&regions[r]) {
-                    Some(true) => taken.push(r),
+                match remaining.subtract(&regions[r]) {
+                    Some(true) => covering.push(r),
                     Some(false) => {}
                     None => break,
                 }
-                if left.cells.is_empty() {
+                if remaining.cells.is_empty() {
                     break;
                 }
             }
-            work += left.work + 1;
+            work += remaining.work + 1;
         }
-        if left.cells.is_empty() {
-            warn("earlier rows match all its requests", &taken, "matches some or all of them");
+        if remaining.cells.is_empty() {
+            warn("earlier rows match all its requests", &covering, "matches some or all of them");
             continue;
         }
         let takes_all = region.exact && region.cells.iter().any(|c| c.0.is_empty());
@@ -159,20 +166,21 @@
     out
 }
 
-/// Rows that a request with this `op` may reach.
+/// The rows that a request with this `op` may match. May include rows that it cannot match, but omits none.
 pub(crate) fn reachable_rows(op: &str, regions: &[Region]) -> Vec<usize> {
-    let asked = Cell::of(Field::Op, Domain::texts(vec![Pattern::Exact(op.to_owned())]));
-    let cells = all_requests().intersection(&asked).map(|c| c.0).into_iter().collect();
-    let mut left = Remaining { cells, work: 0 };
+    let operation = Cell::of(Field::Op, Domain::texts(vec![Pattern::Exact(op.to_owned())]));
+    let cells = all_requests().intersection(&operation).map(|c| c.0).into_iter().collect();
+    let mut remaining = Remaining { cells, work: 0 };
     let (mut out, mut is_tracking) = (Vec::new(), true);
     for (i, region) in regions.iter().enumerate() {
-        let meets = |c: &Cell| region.cells.iter().any(|mine| c.may_intersect(mine));
-        if left.cells.iter().any(meets) {
+        let may_match = |c: &Cell| region.cells.iter().any(|other| c.may_intersect(other));
+        if remaining.cells.iter().any(may_match) {
             out.push(i);
         }
-        // In doubt what was left is left still: a row too many is told, none too few.
-        is_tracking = is_tracking && left.subtract(region).is_some();
-        if left.cells.is_empty() {
+        // Once a limit is exceeded nothing more is subtracted, so that too many rows are reported rather than
+        // too few.
+        is_tracking = is_tracking && remaining.subtract(region).is_some();
+        if remaining.cells.is_empty() {
             break;
         }
     }
--- a/crates/match/src/decision_tree.rs
+++ b/crates/match/src/decision_tree.rs
@@ -1,4 +1,5 @@
-//! First match among many rows without trying each: rows are dealt out by what their conditions ask of a field.
+//! A decision tree that finds the first matching row without evaluating every row. Inner nodes partition the
+//! rows by the constraints that their conditions place on one field.
 
 use crate::domain::{Domain, Pattern};
 use crate::program::{Field, Fields, Observer, Program, Value, FIELDS};
@@ -7,10 +8,11 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// Rows of a leaf that are tried one by one.
+/// Maximum number of entries in a list that is not split further.
 const MAX_LEAF_ENTRIES: usize = 8;
-/// Entries that a whole tree places at the most. Danger: ranges that all overlap, in several fields, would stand at the
-/// product of their depths; what is left over then is tried one by one, and the bound on steps shows it.
+/// Maximum number of entries in all nodes of a tree. Ranges that overlap in several fields would otherwise
+/// need memory for the product of their overlaps. Beyond the limit, leaves stay larger, and the worst-case
+/// step count grows.
 const MAX_TREE_ENTRIES: usize = 4 << 20;
 
 /// A row and one of the cells in which it may match.
@@ -21,7 +23,7 @@
 }
 
 impl<'a> Entry<'a> {
-    /// What it asks of a field; `None`: nothing that tells requests apart.
+    /// The constraint on a field; `None` if there is none by which requests can be told apart.
     fn constraint(&self, field: Field) -> Option<&'a Domain> {
         self.cell.get(field).filter(|d| match d {
             Domain::Ints(ranges) => ranges[..] != [(i64::MIN, i64::MAX)],
@@ -31,14 +33,15 @@
     }
 }
 
-/// Rows in the order in which they are tried.
+/// A decision tree; the rows of a leaf are tried in order.
 #[derive(Clone, Debug)]
 pub(crate) enum DecisionTree {
     Leaf(Vec<u32>),
     Split(Box<Split>),
 }
 
-/// Rows by what they ask of one field; those that ask nothing are the rest.
+/// An inner node: rows by their constraint on one field. Rows without such a constraint are in
+/// `unconstrained`.
 #[derive(Clone, Debug)]
 pub(crate) struct Split {
     field: Field,
@@ -49,7 +52,7 @@
     unconstrained: DecisionTree,
 }
 
-/// Entries as one field deals them out.
+/// Entries partitioned by their constraint on one field.
 #[derive(Default)]
 struct Partition<'a> {
     by_int: BTreeMap<i64, Vec<Entry<'a>>>,
@@ -84,63 +87,73 @@
         out
     }
 
-    /// Entries that a request may meet at the worst, near enough to choose by.
+    /// Upper estimate of the number of entries that one request may have to try, used to choose the field of
+    /// a split.
     fn worst_candidates(&self) -> usize {
         fn max_len<'a, K>(groups: &BTreeMap<K, Vec<Entry<'a>>>) -> usize {
             groups.values().map(Vec::len).max().unwrap_or(0)
         }
         let mut ends: Vec<(i64, i64)> = Vec::with_capacity(2 * self.by_interval.len());
-        for (from, to, _) in &self.by_interval {
-            ends.push((*from, 1));
-            ends.extend(to.checked_add(1).map(|end| (end, -1)));
+        for (first, last, _) in &self.by_interval {
+            ends.push((*first, 1));
+            ends.extend(last.checked_add(1).map(|end| (end, -1)));
         }
         ends.sort_unstable();
-        let mut open = 0;
-        let depth = ends.into_iter().map(|(_, step)| {
-            open += step;
-            open
+        let mut overlap = 0;
+        let overlaps = ends.into_iter().map(|(_, step)| {
+            overlap += step;
+            overlap
         });
-        let by_interval = depth.max().unwrap_or(0).max(0) as usize;
-        // Prefixes that begin each other add up; in order, what begins a text stands before it.
-        let (mut path, mut within, mut by_prefix) = (Vec::<(&str, usize)>::new(), 0, 0);
+        let max_overlap = overlaps.max().unwrap_or(0).max(0) as usize;
+        // A text may begin with several nested prefixes, whose entries add up. In sorted order a prefix comes
+        // before the texts that begin with it.
+        let (mut path, mut path_entries, mut max_path_entries) = (Vec::<(&str, usize)>::new(), 0, 0);
         for (prefix, entries) in &self.by_prefix {
             while path.last().is_some_and(|(p, _)| !prefix.starts_with(p)) {
-                within -= path.pop().map_or(0, |(_, n)| n);
+                path_entries -= path.pop().map_or(0, |(_, n)| n);
             }
-            within += entries.len();
+            path_entries += entries.len();
             path.push((prefix, entries.len()));
-            by_prefix = by_prefix.max(within);
+            max_path_entries = max_path_entries.max(path_entries);
         }
-        max_len(&self.by_int) + max_len(&self.by_text) + by_interval + by_prefix + self.unconstrained.len()
+        max_len(&self.by_int)
+            + max_len(&self.by_text)
+            + max_overlap
+            + max_path_entries
+            + self.unconstrained.len()
     }
 
+    /// Number of entries in all child nodes; an interval occurs in up to a logarithmic number of nodes.
     fn entry_count(&self) -> usize {
-        let all = |by: &mut dyn Iterator<Item = &Vec<Entry<'a>>>| by.map(Vec::len).sum::<usize>();
-        let logs = usize::BITS - self.by_interval.len().leading_zeros();
-        all(&mut self.by_int.values())
-            + all(&mut self.by_text.values())
-            + all(&mut self.by_prefix.values())
-            + self.by_interval.len() * logs as usize
+        let total = |groups: &mut dyn Iterator<Item = &Vec<Entry<'a>>>| groups.map(Vec::len).sum::<usize>();
+        let nodes_per_interval = usize::BITS - self.by_interval.len().leading_zeros();
+        total(&mut self.by_int.values())
+            + total(&mut self.by_text.values())
+            + total(&mut self.by_prefix.values())
+            + self.by_interval.len() * nodes_per_interval as usize
             + self.unconstrained.len()
     }
 }
 
-/// Builds a tree within its bounds.
 struct TreeBuilder {
+    /// Fields on which the ancestors of the current node split.
     used_fields: Vec<Field>,
+    /// Entries that may still be added to the tree.
     remaining_entries: usize,
 }
 
 impl TreeBuilder {
-    fn tree(&mut self, entries: Vec<Entry<'_>>) -> DecisionTree {
+    /// Builds the subtree of some entries. A split is made only if it reduces the candidates by at least a
+    /// quarter.
+    fn build(&mut self, entries: Vec<Entry<'_>>) -> DecisionTree {
         if entries.len() <= MAX_LEAF_ENTRIES {
             return leaf(&entries);
         }
         let fields = FIELDS.iter().map(|f| f.1).filter(|f| !self.used_fields.contains(f));
-        let partition = fields.filter(|f| entries.iter().any(|e| e.constraint(*f).is_some()));
-        let partition = partition.map(|f| (f, Partition::of(&entries, f)));
+        let fields = fields.filter(|f| entries.iter().any(|e| e.constraint(*f).is_some()));
+        let partitions = fields.map(|f| (f, Partition::of(&entries, f)));
         let Some((candidates, field, partition)) =
-            partition.map(|(f, d)| (d.worst_candidates(), f, d)).min_by_key(|d| (d.0, d.1))
+            partitions.map(|(f, p)| (p.worst_candidates(), f, p)).min_by_key(|p| (p.0, p.1))
         else {
             return leaf(&entries);
         };
@@ -150,13 +163,13 @@
         }
         self.remaining_entries -= entry_count;
         self.used_fields.push(field);
-        let unconstrained = self.tree(partition.unconstrained);
-        let by_int = partition.by_int.into_iter().map(|(n, es)| (n, self.tree(es))).collect();
-        let by_text = partition.by_text.into_iter().map(|(t, es)| (t.to_owned(), self.tree(es))).collect();
+        let unconstrained = self.build(partition.unconstrained);
+        let by_int = partition.by_int.into_iter().map(|(n, es)| (n, self.build(es))).collect();
+        let by_text = partition.by_text.into_iter().map(|(t, es)| (t.to_owned(), self.build(es))).collect();
         let by_interval = (!partition.by_interval.is_empty())
-            .then(|| IntervalTree::build(&partition.by_interval, |es| self.tree(es)));
+            .then(|| IntervalTree::build(&partition.by_interval, |es| self.build(es)));
         let by_prefix = (!partition.by_prefix.is_empty()).then(|| {
-            let all = partition.by_prefix.into_iter().map(|(t, es)| (t.to_owned(), self.tree(es)));
+            let all = partition.by_prefix.into_iter().map(|(t, es)| (t.to_owned(), self.build(es)));
             PrefixTree::build(all.collect())
         });
         self.used_fields.pop();
@@ -172,16 +185,17 @@
 }
 
 impl DecisionTree {
-    /// Over rows in order, by where each may match.
+    /// Builds a tree for rows in their order, given the region in which each may match.
     pub(crate) fn build(regions: &[Region]) -> DecisionTree {
         let cells = regions
             .iter()
             .zip(0u32..)
             .flat_map(|(r, row)| r.cells.iter().map(move |cell| Entry { row, cell }));
-        TreeBuilder { used_fields: Vec::new(), remaining_entries: MAX_TREE_ENTRIES }.tree(cells.collect())
+        TreeBuilder { used_fields: Vec::new(), remaining_entries: MAX_TREE_ENTRIES }.build(cells.collect())
     }
 
-    /// The first row, below `best`, that `holds`; steps are counted for each branch and row.
+    /// The lowest row below `best` for which `matches_row` is true, or `best` if there is none. Steps are
+    /// reported to `observer` for each node and row.
     pub(crate) fn first_match<W: Observer>(
         &self,
         fields: &Fields<'_>,
@@ -192,8 +206,8 @@
         observer.steps(|| 1);
         let split = match self {
             DecisionTree::Leaf(rows) => {
-                let mut sooner = rows.iter().take_while(|r| **r < best);
-                return sooner.find(|r| matches_row(**r, observer)).copied().unwrap_or(best);
+                let mut earlier = rows.iter().take_while(|r| **r < best);
+                return earlier.find(|r| matches_row(**r, observer)).copied().unwrap_or(best);
             }
             DecisionTree::Split(split) => split,
         };
@@ -230,7 +244,7 @@
         split.unconstrained.first_match(fields, best, observer, matches_row)
     }
 
-    /// Worst steps, given those of each row.
+    /// The worst-case number of steps, given that of each row.
     pub(crate) fn worst_steps(&self, row: &dyn Fn(u32) -> u64) -> u64 {
         let of = |t: &DecisionTree| t.worst_steps(row);
         1 + match self {
--- a/crates/match/src/diagnostic.rs
+++ b/crates/match/src/diagnostic.rs
@@ -68,11 +68,11 @@
     }
 }
 
-/// The known name with the smallest edit distance to a word, if the distance is at most a third of the word's length
-/// (and at least 1).
+/// The known name with the smallest edit distance to a word, if the distance is at most a third of the word's
+/// length (and at least 1).
 pub fn closest_match<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    let (distance, name) = known.map(|k| (strsim::damerau_levenshtein(word, k), k)).min()?;
-    (distance <= (word.len() / 3).max(1)).then_some(name)
+    let closest = known.map(|k| (strsim::damerau_levenshtein(word, k), k)).min()?;
+    (closest.0 <= (word.len() / 3).max(1)).then_some(closest.1)
 }
 
 /// Diagnostics that are rendered in full; the others are only counted.
--- a/crates/match/src/domain.rs
+++ b/crates/match/src/domain.rs
@@ -1,15 +1,15 @@
-//! Sets of values that a field may have: ranges of numbers, and texts by name or by how they begin.
+//! Domains: sets of values of a field, as ranges of numbers or as exact texts and prefixes.
 //!
-//! Wherever a result can't be written down it is made larger, never smaller, and said to be inexact: whoever leaves a
-//! row out because of such a set must not leave out one that matches.
+//! A result that cannot be represented is over-approximated, never under-approximated, and reported as
+//! inexact: a row that is excluded because of a domain must never be one that matches.
 
 use std::collections::BTreeSet;
 
-/// Pieces of two sets that are joined at the most; beyond it the narrower set stands for both. Danger: a long `and` of
-/// `!=` would otherwise cost the square of its length.
+/// Maximum number of pieces of two domains that are intersected exactly; beyond it the result is the domain
+/// with fewer pieces. Without the limit, a long `and` of `!=` would take quadratic time.
 const MAX_PIECES: usize = 512;
 
-/// How texts are named.
+/// A set of texts: one exact text or all texts with a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Pattern {
     Exact(String),
@@ -17,6 +17,7 @@
 }
 
 impl Pattern {
+    /// Whether every text of the other pattern matches this one.
     fn covers(&self, other: &Pattern) -> bool {
         match (self, other) {
             (Pattern::Exact(a), Pattern::Exact(b)) => a == b,
@@ -28,15 +29,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Domain {
-    /// Ranges with both ends in, in order and apart from each other.
+    /// Sorted, disjoint, non-adjacent ranges, both ends inclusive.
     Ints(Vec<(i64, i64)>),
-    /// Texts that one of these fits.
+    /// Texts that match one of these patterns, which are sorted.
     Texts(Vec<Pattern>),
-    /// All texts but these.
+    /// All texts except these.
     AllExcept(BTreeSet<String>),
 }
 
-/// A set, and whether it is exactly what was asked for.
+/// A domain, and whether it is exact.
 pub(crate) type Approximation = (Domain, bool);
 
 impl Domain {
@@ -44,7 +45,7 @@
         Domain::Ints(if from <= to { vec![(from, to)] } else { Vec::new() })
     }
 
-    /// Of ranges in any order.
+    /// Creates a domain from ranges in any order, which may overlap.
     pub(crate) fn ranges(mut ranges: Vec<(i64, i64)>) -> Domain {
         ranges.retain(|(a, b)| a <= b);
         ranges.sort_unstable();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Pieces that it is written down in.
+    /// Number of ranges, patterns or texts that represent the domain.
     pub(crate) fn pieces(&self) -> usize {
         match self {
             Domain::Ints(r) => r.len(),
@@ -81,36 +82,37 @@
         }
     }
 
-    /// Whether there is anything in both.
+    /// Whether the domains may have a common value. Over-approximated for prefixes and excluded texts.
     pub(crate) fn may_intersect(&self, other: &Domain) -> bool {
         match (self, other) {
             (Domain::Ints(a), Domain::Ints(b)) => {
                 let (few, many) = if a.len() <= b.len() { (a, b) } else { (b, a) };
-                let met = |(from, to): &(i64, i64)| {
+                let is_met = |(from, to): &(i64, i64)| {
                     many.get(many.partition_point(|r| r.1 < *from)).is_some_and(|r| r.0 <= *to)
                 };
-                few.iter().any(met)
+                few.iter().any(is_met)
             }
             (Domain::Texts(a), Domain::Texts(b)) => {
                 let (few, many) = if a.len() <= b.len() { (a, b) } else { (b, a) };
                 let prefixes = many.partition_point(|p| matches!(p, Pattern::Exact(_)));
-                let met = |p: &Pattern| match p {
+                let is_met = |p: &Pattern| match p {
                     Pattern::Exact(_) => {
                         many[..prefixes].binary_search(p).is_ok()
                             || many[prefixes..].iter().any(|q| q.covers(p))
                     }
                     Pattern::Prefix(_) => many.iter().any(|q| q.covers(p) || p.covers(q)),
                 };
-                few.iter().any(met)
+                few.iter().any(is_met)
             }
-            (Domain::Texts(a), Domain::AllExcept(not)) | (Domain::AllExcept(not), Domain::Texts(a)) => {
-                a.iter().any(|p| !matches!(p, Pattern::Exact(t) if not.contains(t)))
+            (Domain::Texts(a), Domain::AllExcept(excluded))
+            | (Domain::AllExcept(excluded), Domain::Texts(a)) => {
+                a.iter().any(|p| !matches!(p, Pattern::Exact(t) if excluded.contains(t)))
             }
             _ => true,
         }
     }
 
-    /// All values that this one leaves out; `None` where that can't be written down.
+    /// All other values; `None` if the complement cannot be represented.
     pub(crate) fn complement(&self) -> Option<Domain> {
         match self {
             Domain::Ints(ranges) => {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// What is in any of them; all of one kind.
+    /// The union of domains of the same kind.
     pub(crate) fn union(all: Vec<Domain>) -> Domain {
         let (mut ranges, mut patterns, mut but) = (Vec::new(), Vec::new(), None::<BTreeSet<String>>);
         let ints = matches!(all.first(), Some(Domain::Ints(_)));
@@ -169,7 +171,7 @@
         Domain::AllExcept(but)
     }
 
-    /// What is in both.
+    /// The intersection, possibly over-approximated.
     pub(crate) fn intersection(&self, other: &Domain) -> Approximation {
         match (self, other) {
             (Domain::Ints(a), Domain::Ints(b)) if a.len() + b.len() > MAX_PIECES => {
@@ -204,24 +206,25 @@
                 };
                 (Domain::texts(pairs.filter_map(narrower).collect()), true)
             }
-            (Domain::Texts(a), Domain::AllExcept(not)) | (Domain::AllExcept(not), Domain::Texts(a)) => {
-                let kept = |p: &&Pattern| !matches!(p, Pattern::Exact(t) if not.contains(t));
-                let whole = |p: &Pattern| match p {
+            (Domain::Texts(a), Domain::AllExcept(excluded))
+            | (Domain::AllExcept(excluded), Domain::Texts(a)) => {
+                let is_kept = |p: &&Pattern| !matches!(p, Pattern::Exact(t) if excluded.contains(t));
+                let is_exact = |p: &Pattern| match p {
                     Pattern::Exact(_) => true,
-                    Pattern::Prefix(p) => !any_starts_with(not, p),
+                    Pattern::Prefix(p) => !any_starts_with(excluded, p),
                 };
-                (Domain::Texts(a.iter().filter(kept).cloned().collect()), a.iter().all(whole))
+                (Domain::Texts(a.iter().filter(is_kept).cloned().collect()), a.iter().all(is_exact))
             }
             (Domain::AllExcept(a), Domain::AllExcept(b)) if a.len() + b.len() > MAX_PIECES => {
                 (self.clone(), false)
             }
             (Domain::AllExcept(a), Domain::AllExcept(b)) => (Domain::AllExcept(a | b), true),
-            // Types were checked; sets of two kinds have nothing in common to speak of.
+            // The type checker rules out domains of different kinds.
             _ => (self.clone(), false),
         }
     }
 
-    /// At least what is in this one and not in the other.
+    /// The values of this domain that are not in the other, possibly over-approximated.
     pub(crate) fn difference(&self, other: &Domain) -> Domain {
         match (self, other) {
             (Domain::Ints(_), Domain::Ints(_)) => match other.complement() {
@@ -230,12 +233,12 @@
             },
             (Domain::Texts(a), Domain::Texts(b)) => {
                 let prefixes = b.partition_point(|p| matches!(p, Pattern::Exact(_)));
-                let begun = |p: &Pattern| b[prefixes..].iter().take(MAX_PIECES).any(|q| q.covers(p));
-                let left = |p: &&Pattern| b[..prefixes].binary_search(p).is_err() && !begun(p);
+                let has_prefix = |p: &Pattern| b[prefixes..].iter().take(MAX_PIECES).any(|q| q.covers(p));
+                let left = |p: &&Pattern| b[..prefixes].binary_search(p).is_err() && !has_prefix(p);
                 Domain::Texts(a.iter().filter(left).cloned().collect())
             }
-            (Domain::Texts(a), Domain::AllExcept(not)) => {
-                let left = not.iter().map(|t| Pattern::Exact(t.clone()));
+            (Domain::Texts(a), Domain::AllExcept(excluded)) => {
+                let left = excluded.iter().map(|t| Pattern::Exact(t.clone()));
                 Domain::texts(left.filter(|t| a.iter().any(|p| p.covers(t))).collect())
             }
             (Domain::AllExcept(a), Domain::AllExcept(b)) => {
--- a/crates/match/src/key.rs
+++ b/crates/match/src/key.rs
@@ -1,70 +1,75 @@
-//! What a key depends on: the order of ordered classes holds within a key, so that who writes one must be told where
-//! one block may fall under two.
+//! Dependencies of the ordering key. Ordered classes keep requests in order within one key only, so that two
+//! requests for the same block with different keys could be reordered.
 
 use crate::ast::{ArithOp, Expr, ExprKind};
 use crate::program::{Field, FIELDS};
 use crate::region::Bindings;
 use std::collections::{BTreeSet, HashMap};
 
-/// What a key is made from, over and above volume, plan and target.
+/// What a key depends on, apart from volume, plan, unit number and target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyDependencies {
-    /// Fields by which two requests for one block may differ.
+    /// Fields in which two requests for the same block may differ.
     pub varying_fields: BTreeSet<&'static str>,
-    /// Blocks of each run that `lba / N` cuts the volume into.
+    /// The values of `N` in `lba / N`: numbers of consecutive blocks that share a key.
     pub lba_divisors: BTreeSet<u64>,
-    /// Whether `lba` is used in any other way, so that two blocks side by side may have two keys.
+    /// Whether `lba` is used in any other way, so that adjacent blocks may have different keys.
     pub lba_undivided: bool,
 }
 
 impl KeyDependencies {
-    pub(crate) fn of(key: &Expr, lets: &[(String, crate::Span, Expr)], known: &Bindings) -> KeyDependencies {
-        let mut uses: HashMap<&str, KeyDependencies> = HashMap::new();
+    pub(crate) fn of(
+        key: &Expr,
+        lets: &[(String, crate::Span, Expr)],
+        constants: &Bindings,
+    ) -> KeyDependencies {
+        let mut bindings: HashMap<&str, KeyDependencies> = HashMap::new();
         for (name, _, value) in lets {
-            let mut one = KeyDependencies::default();
-            one.read(value, &uses, known);
-            uses.insert(name, one);
+            let mut binding = KeyDependencies::default();
+            binding.visit(value, &bindings, constants);
+            bindings.insert(name, binding);
         }
         let mut out = KeyDependencies::default();
-        out.read(key, &uses, known);
+        out.visit(key, &bindings, constants);
         out
     }
 
-    fn read(&mut self, e: &Expr, lets: &HashMap<&str, KeyDependencies>, known: &Bindings) {
-        let mut all = |es: &mut dyn Iterator<Item = &Expr>| es.for_each(|e| self.read(e, lets, known));
+    fn visit(&mut self, e: &Expr, lets: &HashMap<&str, KeyDependencies>, constants: &Bindings) {
+        let mut visit_all =
+            |exprs: &mut dyn Iterator<Item = &Expr>| exprs.for_each(|e| self.visit(e, lets, constants));
         match &e.kind {
             ExprKind::Name(name) => match FIELDS.iter().find(|f| f.0 == name) {
                 Some((_, Field::Volume | Field::Plan | Field::Lun | Field::Target, _)) => {}
                 Some((_, Field::Lba, _)) => self.lba_undivided = true,
                 Some((name, _, _)) => drop(self.varying_fields.insert(name)),
                 None => {
-                    if let Some(one) = lets.get(name.as_str()) {
-                        self.varying_fields.extend(&one.varying_fields);
-                        self.lba_divisors.extend(&one.lba_divisors);
-                        self.lba_undivided |= one.lba_undivided;
+                    if let Some(binding) = lets.get(name.as_str()) {
+                        self.varying_fields.extend(&binding.varying_fields);
+                        self.lba_divisors.extend(&binding.lba_divisors);
+                        self.lba_undivided |= binding.lba_undivided;
                     }
                 }
             },
             ExprKind::Chain(first, rest) => {
-                let run = match rest.first() {
-                    Some((ArithOp::Div, by)) if matches!(&first.kind, ExprKind::Name(n) if n == "lba") => {
-                        known.int(by).and_then(|n| u64::try_from(n).ok())
+                let divisor = match rest.first() {
+                    Some((ArithOp::Div, divisor_expr)) if matches!(&first.kind, ExprKind::Name(n) if n == "lba") => {
+                        constants.int(divisor_expr).and_then(|n| u64::try_from(n).ok())
                     }
                     _ => None,
                 };
-                match run {
-                    Some(blocks) => {
-                        self.lba_divisors.insert(blocks);
-                        rest.iter().skip(1).for_each(|(_, t)| self.read(t, lets, known));
+                match divisor {
+                    Some(divisor) => {
+                        self.lba_divisors.insert(divisor);
+                        rest.iter().skip(1).for_each(|(_, t)| self.visit(t, lets, constants));
                     }
-                    None => all(&mut std::iter::once(&**first).chain(rest.iter().map(|r| &r.1))),
+                    None => visit_all(&mut std::iter::once(&**first).chain(rest.iter().map(|r| &r.1))),
                 }
             }
-            ExprKind::Not(a) => self.read(a, lets, known),
-            ExprKind::And(a) | ExprKind::Or(a) | ExprKind::Call(_, a) => all(&mut a.iter()),
-            ExprKind::Compare(_, a, b) => all(&mut [&**a, &**b].into_iter()),
-            ExprKind::In(a, b) => all(&mut std::iter::once(&**a).chain(b)),
-            ExprKind::If(a, b, c) => all(&mut [&**a, &**b, &**c].into_iter()),
+            ExprKind::Not(a) => self.visit(a, lets, constants),
+            ExprKind::And(a) | ExprKind::Or(a) | ExprKind::Call(_, a) => visit_all(&mut a.iter()),
+            ExprKind::Compare(_, a, b) => visit_all(&mut [&**a, &**b].into_iter()),
+            ExprKind::In(a, b) => visit_all(&mut std::iter::once(&**a).chain(b)),
+            ExprKind::If(a, b, c) => visit_all(&mut [&**a, &**b, &**c].into_iter()),
             ExprKind::Int(_)
             | ExprKind::Size(_)
             | ExprKind::Duration(_)
@@ -74,7 +79,8 @@
         }
     }
 
-    /// What is wrong with the key where it orders requests over extents of so many blocks.
+    /// Descriptions of all ways in which one block, or the blocks of one command, may have different keys, on
+    /// a volume with extents of `extent_blocks` blocks.
     pub fn conflicts(&self, extent_blocks: u64) -> Vec<String> {
         let mut out = Vec::new();
         if !self.varying_fields.is_empty() {
@@ -90,9 +96,9 @@
                     .to_owned(),
             );
         }
-        for run in self.lba_divisors.iter().filter(|n| **n == 0 || **n % extent_blocks.max(1) != 0) {
+        for divisor in self.lba_divisors.iter().filter(|n| **n == 0 || **n % extent_blocks.max(1) != 0) {
             out.push(format!(
-                "`lba / {run}`: {run} is not a multiple of the extent's {extent_blocks} blocks, so blocks of one command may \
+                "`lba / {divisor}`: {divisor} is not a multiple of the extent's {extent_blocks} blocks, so blocks of one command may \
                  have two keys"
             ));
         }
--- a/crates/match/src/lexer.rs
+++ b/crates/match/src/lexer.rs
@@ -14,8 +14,8 @@
     Duration(i64),
     /// Punctuation and operators.
     Punct(&'static str),
-    /// An invalid token that has already been reported. The parser accepts it as a value, so that it causes no
-    /// further diagnostics.
+    /// An invalid token that has already been reported. The parser accepts it as a value, so that it causes
+    /// no further diagnostics.
     Invalid,
     End,
 }
@@ -38,7 +38,8 @@
     ("h", 3_600_000_000, false),
 ];
 
-/// Splits a text into tokens, the last of which is [`Token::End`]. Invalid characters are reported and skipped.
+/// Splits a text into tokens, the last of which is [`Token::End`]. Invalid characters are reported and
+/// skipped.
 pub(crate) fn lex(text: &str, diagnostics: &mut Vec<Diagnostic>) -> Vec<(Token, Span)> {
     let mut out = Vec::new();
     let bytes = text.as_bytes();
@@ -77,8 +78,8 @@
             let message = format!("unexpected character `{}` (U+{:04X})", first.escape_debug(), first as u32);
             let diagnostic = Diagnostic::new(token_span(n), message);
             if first.is_alphabetic() {
-                // A letter of another script may look like an ASCII letter, so that two different names would look
-                // the same.
+                // A letter of another script may look like an ASCII letter, so that two different names would
+                // look the same.
                 diagnostics.push(diagnostic.help("names consist of ASCII letters, digits and `_`"));
                 out.push((Token::Invalid, token_span(n)));
             } else {
--- a/crates/match/src/lib.rs
+++ b/crates/match/src/lib.rs
@@ -1,5 +1,5 @@
-//! Matching rules: a small typed expression language that assigns each request a class, a plan and an ordering
-//! key. No I/O.
+//! Matching rules: a small typed expression language that assigns each request a class, a plan and an
+//! ordering key. No I/O.
 //!
 //! ```
 //! use pearfork_match::{Fields, Rules};
@@ -16,10 +16,10 @@
 //! assert!(rules.worst_steps() < 200);
 //! ```
 //!
-//! A file is compiled once. The compiler checks types, reports all errors of the file with their spans, and computes
-//! the worst-case number of steps of an evaluation, which is bounded because there are no loops and all jumps go
-//! forward. Evaluation allocates nothing and cannot fail: division by zero gives 0, and arithmetic saturates at 64
-//! bits.
+//! A file is compiled once. The compiler checks types, reports all errors of the file with their spans, and
+//! computes the worst-case number of steps of an evaluation, which is bounded because there are no loops and
+//! all jumps go forward. Evaluation allocates nothing and cannot fail: division by zero gives 0, and
+//! arithmetic saturates at 64 bits.
 
 mod ast;
 mod compile;
--- a/crates/match/src/program.rs
+++ b/crates/match/src/program.rs
@@ -1,22 +1,23 @@
-//! The flat program and its machine. Jumps go forward only, so that a program ends after as many steps as it is long.
+//! The bytecode and its interpreter. Jumps go forward only, so that an evaluation executes each instruction
+//! at most once.
 
 use crate::ast::{ArithOp, Comparison};
 use crate::diagnostic::Span;
 
-/// What an expression sees of a request. Texts count up to their 255th byte.
+/// The fields of a request that expressions can read. Texts longer than 255 bytes are truncated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fields<'a> {
     /// `read`, `write`, `verify`, `flush` or `compare-and-write`.
     pub op: &'a str,
-    /// `in`, `out` or `none`: which way data goes, seen from the initiator.
+    /// Direction of the data transfer as seen from the initiator: `in`, `out` or `none`.
     pub direction: &'a str,
-    /// First block.
+    /// Logical block address of the first block.
     pub lba: u64,
-    /// Blocks.
+    /// Number of blocks.
     pub blocks: u64,
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: u64,
-    /// Unit number.
+    /// Logical unit number.
     pub lun: u16,
     /// Name of the volume.
     pub volume: &'a str,
@@ -26,15 +27,15 @@
     pub initiator: &'a str,
     /// Name of the target.
     pub target: &'a str,
-    /// GROUP NUMBER of the CDB.
+    /// The GROUP NUMBER field of the CDB.
     pub group: u8,
-    /// Force unit access.
+    /// Force unit access (FUA).
     pub fua: bool,
-    /// Time of day, microseconds.
+    /// Time of day in microseconds.
     pub time_us: u64,
 }
 
-/// Texts longer than this are cut: it bounds the steps of whatever reads one.
+/// Longer texts are truncated to this number of bytes, which bounds the cost of operations on them.
 pub(crate) const MAX_TEXT: usize = 255;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -54,7 +55,7 @@
     Time,
 }
 
-/// Types of the language; sizes and spans do not mix with bare numbers.
+/// Types of the language. Sizes and durations cannot be added to or compared with plain numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Type {
     Int,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Names, fields and their types.
+/// Name, field and type of each field.
 pub(crate) const FIELDS: [(&str, Field, Type); 13] = [
     ("op", Field::Op, Type::Text),
     ("direction", Field::Direction, Type::Text),
@@ -100,7 +101,7 @@
     Text(&'a str),
 }
 
-/// A value as an operator reads it.
+/// Formats the value for `explain`.
 impl std::fmt::Display for Value<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -128,31 +129,31 @@
     }
 }
 
-/// Sorted constants for `in`.
+/// The sorted constants of an `in` list.
 #[derive(Clone, Debug)]
 pub(crate) enum Set {
     Ints(Vec<i64>),
     Texts(Vec<String>),
 }
 
-/// A pattern cut at its stars: what it begins with, holds in order, and ends with.
+/// A glob pattern, split at its stars into a prefix, parts that must occur in order, and a suffix.
 #[derive(Clone, Debug)]
 pub(crate) struct Glob {
-    pieces: Vec<String>,
+    parts: Vec<String>,
 }
 
 impl Glob {
     pub(crate) fn new(pattern: &str) -> Glob {
-        Glob { pieces: pattern.split('*').map(str::to_owned).collect() }
+        Glob { parts: pattern.split('*').map(str::to_owned).collect() }
     }
 
-    /// Greedy from the left: for pieces between stars the first place found is as good as any.
+    /// Matches greedily from the left: for the parts between stars the first occurrence is always sufficient.
     pub(crate) fn matches(&self, text: &str) -> bool {
-        let [first, middle @ .., last] = &self.pieces[..] else { return self.pieces[0] == text };
+        let [first, middle @ .., last] = &self.parts[..] else { return self.parts[0] == text };
         let Some(mut rest) = text.strip_prefix(first.as_str()) else { return false };
-        for piece in middle {
-            match rest.find(piece.as_str()) {
-                Some(at) => rest = &rest[at + piece.len()..],
+        for part in middle {
+            match rest.find(part.as_str()) {
+                Some(at) => rest = &rest[at + part.len()..],
                 None => return false,
             }
         }
@@ -168,7 +169,7 @@
     Not,
     Compare(Comparison),
     CompareText(Comparison),
-    /// A field with a constant, as most tests are: one operation in place of three.
+    /// Compares a field with a constant, the most common test, in one instruction instead of three.
     CompareField(Comparison, Field, u32),
     CompareFieldText(Comparison, Field, u32),
     Arith(ArithOp),
@@ -177,49 +178,49 @@
     EndsWith(u32),
     Contains(u32),
     Glob(u32),
-    /// Of so many values on the stack.
+    /// Pops so many values and pushes their hash.
     Hash(u8),
-    /// Goes on elsewhere where the top is false, keeping it; drops it otherwise.
+    /// Jumps if the top is false, keeping it; pops it otherwise.
     JumpIfFalseOrPop(u32),
-    /// The same for true.
+    /// Jumps if the top is true, keeping it; pops it otherwise.
     JumpIfTrueOrPop(u32),
-    /// Drops the top; goes on elsewhere where it was false.
+    /// Pops the top and jumps if it is false.
     PopJumpIfFalse(u32),
     Jump(u32),
     End,
 }
 
-/// Values on the stack at the most; deeper expressions are refused at load.
+/// Maximum stack depth; the compiler rejects expressions that need more.
 pub(crate) const MAX_STACK: usize = 16;
-/// Names given by `let` at the most.
+/// Maximum number of `let` definitions.
 pub(crate) const MAX_LETS: usize = 32;
-/// Bytes of a text that one step reads.
+/// Number of bytes of a text that count as one step.
 const BYTES_PER_STEP: usize = 16;
 
-/// A compiled file: operations of all expressions in one list.
+/// A compiled file: the instructions of all expressions in one list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Program {
     pub(crate) ops: Vec<Op>,
-    /// What each operation was written as.
+    /// The source span of each instruction.
     pub(crate) spans: Vec<Span>,
     pub(crate) constants: Vec<Constant>,
     pub(crate) sets: Vec<Set>,
     pub(crate) globs: Vec<Glob>,
-    /// Where each `let` begins, in order.
+    /// The first instruction of each `let`, in order.
     pub(crate) lets: Vec<u32>,
-    /// Whether any operation reads one; constants are put where they are used.
+    /// Whether any instruction reads a `let`. Those that are constants are inlined.
     pub(crate) reads_lets: bool,
 }
 
-/// Looks on while programs run: for bounds, for `explain`, or not at all.
+/// Observes evaluations, to count steps or to explain results. The empty observer `()` costs nothing.
 pub(crate) trait Observer {
-    /// So many steps are taken.
+    /// Called with the number of steps of each instruction.
     fn steps(&mut self, _cost: impl FnOnce() -> u64) {}
-    /// A test gave an answer about some values.
-    fn test(&mut self, _place: Span, _of: &[Value<'_>], _gave: bool) {}
+    /// Called with the result of each test and its operands.
+    fn test(&mut self, _place: Span, _operands: &[Value<'_>], _outcome: bool) {}
 }
 
-/// For the path of requests, where looking on costs nothing.
+/// Observes nothing; used for requests.
 impl Observer for () {}
 
 /// Counts steps.
@@ -229,7 +230,7 @@
     }
 }
 
-/// The beginning of a text up to a bound.
+/// Truncates a text to [`MAX_TEXT`] bytes, at a character boundary.
 fn truncate(text: &str) -> &str {
     if text.len() <= MAX_TEXT {
         return text;
@@ -262,36 +263,37 @@
     }
 }
 
-/// FNV-1a over values with a mark for each, so that `hash("ab", "c")` and `hash("a", "bc")` differ; never 0.
+/// FNV-1a over the values, each preceded by its length, so that `hash("ab", "c")` and `hash("a", "bc")`
+/// differ. The result is positive, never 0.
 pub(crate) fn hash(values: &[Value<'_>]) -> i64 {
     let mut h = 0xcbf2_9ce4_8422_2325u64;
-    let mut eat =
+    let mut feed =
         |bytes: &[u8]| bytes.iter().for_each(|b| h = (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3));
-    let mut piece = |bytes: &[u8]| {
-        eat(&(bytes.len() as u32).to_be_bytes());
-        eat(bytes);
+    let mut feed_value = |bytes: &[u8]| {
+        feed(&(bytes.len() as u32).to_be_bytes());
+        feed(bytes);
     };
     for v in values {
         match v {
-            Value::Int(n) => piece(&n.to_be_bytes()),
-            Value::Bool(b) => piece(&[u8::from(*b)]),
-            Value::Text(t) => piece(t.as_bytes()),
+            Value::Int(n) => feed_value(&n.to_be_bytes()),
+            Value::Bool(b) => feed_value(&[u8::from(*b)]),
+            Value::Text(t) => feed_value(t.as_bytes()),
         }
     }
     (h & i64::MAX as u64).max(1) as i64
 }
 
 impl Program {
-    /// Steps of reading the longest text once.
+    /// Steps of reading a text of maximum length once.
     pub(crate) const TEXT_STEPS: u64 = (MAX_TEXT / BYTES_PER_STEP) as u64;
 
-    /// Steps that one operation may take.
+    /// Worst-case number of steps of one instruction.
     pub(crate) fn cost(&self, op: &Op) -> u64 {
         let text = Self::TEXT_STEPS;
         match op {
             Op::StartsWith(_) | Op::EndsWith(_) | Op::CompareText(_) | Op::CompareFieldText(..) => 1 + text,
             Op::Contains(_) => 1 + 2 * text,
-            Op::Glob(g) => 1 + text * (1 + self.globs[*g as usize].pieces.len() as u64),
+            Op::Glob(g) => 1 + text * (1 + self.globs[*g as usize].parts.len() as u64),
             Op::InSet(s) => match &self.sets[*s as usize] {
                 Set::Ints(v) => 1 + u64::from(v.len().max(1).ilog2()) + 1,
                 Set::Texts(v) => 1 + (u64::from(v.len().max(1).ilog2()) + 1) * text,
@@ -301,11 +303,12 @@
         }
     }
 
-    /// Worst steps from each operation to its end: the longest way, since jumps go forward only.
-    pub(crate) fn worst_from(&self) -> Vec<u64> {
+    /// Worst-case number of steps from each instruction to the end of its expression: the longest path,
+    /// computed backwards since jumps go forward only.
+    pub(crate) fn worst_steps_from(&self) -> Vec<u64> {
         let mut worst = vec![0; self.ops.len() + 1];
         for (i, op) in self.ops.iter().enumerate().rev() {
-            let on = match op {
+            let steps_after = match op {
                 Op::End => 0,
                 Op::Jump(to) => worst[*to as usize],
                 Op::JumpIfFalseOrPop(to) | Op::JumpIfTrueOrPop(to) | Op::PopJumpIfFalse(to) => {
@@ -313,24 +316,24 @@
                 }
                 _ => worst[i + 1],
             };
-            worst[i] = on + self.cost(op);
+            worst[i] = steps_after + self.cost(op);
         }
         worst
     }
 
-    /// Values of all lets, in order; each sees those before it.
+    /// Evaluates all `let` definitions in order; each can read those before it.
     fn evaluate_lets<'a>(
         &'a self,
         fields: &Fields<'a>,
         lets: &mut [Value<'a>; MAX_LETS],
         observer: &mut impl Observer,
     ) {
-        for (slot, from) in self.lets.iter().enumerate().take(MAX_LETS) {
-            lets[slot] = self.run(*from, fields, &lets[..slot], observer);
+        for (slot, entry) in self.lets.iter().enumerate().take(MAX_LETS) {
+            lets[slot] = self.run(*entry, fields, &lets[..slot], observer);
         }
     }
 
-    /// Does something with the values of the lets; with none where no operation reads one.
+    /// Calls `then` with the values of the `let` definitions, or with none if no instruction reads one.
     pub(crate) fn with_lets<'a, W: Observer, R>(
         &'a self,
         fields: &Fields<'a>,
@@ -345,31 +348,32 @@
         then(&lets[..self.lets.len().min(MAX_LETS)], observer)
     }
 
-    /// Values of all lets, for showing.
+    /// The values of all `let` definitions, for `explain`.
     pub(crate) fn lets<'a>(&'a self, fields: &Fields<'a>) -> Vec<Value<'a>> {
         let mut lets = [Value::Int(0); MAX_LETS];
         self.evaluate_lets(fields, &mut lets, &mut ());
         lets[..self.lets.len().min(MAX_LETS)].to_vec()
     }
 
-    /// Runs one expression. The compiler has seen to types and depth; a hole in that would end in a stated value.
+    /// Evaluates one expression. The compiler guarantees types and stack depth; if it were wrong, the result
+    /// would be some defined value rather than a panic.
     pub(crate) fn run<'a>(
         &'a self,
-        from: u32,
+        entry: u32,
         fields: &Fields<'a>,
         lets: &[Value<'a>],
         observer: &mut impl Observer,
     ) -> Value<'a> {
         let mut stack = [Value::Int(0); MAX_STACK];
-        let (mut top, mut at) = (0usize, from as usize);
+        let (mut top, mut pc) = (0usize, entry as usize);
         let push = |top: &mut usize, stack: &mut [Value<'a>; MAX_STACK], v: Value<'a>| {
             if let Some(slot) = stack.get_mut(*top) {
                 *slot = v;
                 *top += 1;
             }
         };
-        while let Some(op) = self.ops.get(at) {
-            at += 1;
+        while let Some(op) = self.ops.get(pc) {
+            pc += 1;
             observer.steps(|| self.cost(op));
             let last = stack[top.saturating_sub(1)];
             match op {
@@ -381,20 +385,20 @@
                         _ => last,
                     };
                     if let Value::Bool(outcome) = value {
-                        observer.test(self.spans[at - 1], &[], outcome);
+                        observer.test(self.spans[pc - 1], &[], outcome);
                     }
                     push(&mut top, &mut stack, value);
                 }
                 Op::CompareField(c, field, constant) | Op::CompareFieldText(c, field, constant) => {
-                    let of = [fields.value(*field), self.constants[*constant as usize].value()];
-                    let outcome = compare(*c, of[0], of[1]);
-                    observer.test(self.spans[at - 1], &of, outcome);
+                    let operands = [fields.value(*field), self.constants[*constant as usize].value()];
+                    let outcome = compare(*c, operands[0], operands[1]);
+                    observer.test(self.spans[pc - 1], &operands, outcome);
                     push(&mut top, &mut stack, Value::Bool(outcome));
                 }
-                Op::Jump(to) => at = *to as usize,
+                Op::Jump(to) => pc = *to as usize,
                 Op::JumpIfFalseOrPop(to) | Op::JumpIfTrueOrPop(to) => {
                     if last == Value::Bool(matches!(op, Op::JumpIfTrueOrPop(_))) {
-                        at = *to as usize;
+                        pc = *to as usize;
                     } else {
                         top = top.saturating_sub(1);
                     }
@@ -402,7 +406,7 @@
                 Op::PopJumpIfFalse(to) => {
                     top = top.saturating_sub(1);
                     if last != Value::Bool(true) {
-                        at = *to as usize;
+                        pc = *to as usize;
                     }
                 }
                 Op::End => return last,
@@ -412,7 +416,7 @@
                     *left = match op {
                         Op::Compare(c) | Op::CompareText(c) => {
                             let outcome = compare(*c, *left, last);
-                            observer.test(self.spans[at - 1], &[*left, last], outcome);
+                            observer.test(self.spans[pc - 1], &[*left, last], outcome);
                             Value::Bool(outcome)
                         }
                         Op::Arith(a) => Value::Int(arith(*a, *left, last)),
@@ -433,7 +437,7 @@
                 | Op::Glob(_) => {
                     let outcome = self.test(op, last);
                     if !matches!(op, Op::Not) {
-                        observer.test(self.spans[at - 1], &[last], outcome);
+                        observer.test(self.spans[pc - 1], &[last], outcome);
                     }
                     stack[top.saturating_sub(1)] = Value::Bool(outcome);
                 }
@@ -469,7 +473,7 @@
 
 pub(crate) fn compare(c: Comparison, a: Value<'_>, b: Value<'_>) -> bool {
     match (a, b) {
-        // Lengths differ more often than not, and are seen first.
+        // Equality compares the lengths first, which usually differ.
         (Value::Text(a), Value::Text(b)) if c == Comparison::Equal => a == b,
         (Value::Int(a), Value::Int(b)) => c.holds(a.cmp(&b)),
         (Value::Text(a), Value::Text(b)) => c.holds(a.cmp(b)),
--- a/crates/match/src/region.rs
+++ b/crates/match/src/region.rs
@@ -1,17 +1,19 @@
-//! Which requests a condition may hold for: boxes over the fields, read off the tree.
+//! Regions: the requests for which a condition may hold, as unions of cells over the fields, derived from the
+//! syntax tree.
 //!
-//! Three things rest on it: the decision tree, the warnings about rows that never match, and which classes an operation
-//! may reach. A region never leaves out a request for which the condition holds.
+//! The decision tree, the warnings about rows that never match, and the classes that an operation may reach
+//! are computed from regions. A region contains every request for which its condition holds.
 
 use crate::ast::{ArithOp, Comparison, Expr, ExprKind};
 use crate::domain::{Domain, Pattern};
 use crate::program::{Field, FIELDS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Boxes of one region at the most; beyond it a region is everything, inexactly.
+/// Maximum number of cells of a region. Beyond it the region is over-approximated and inexact: a union
+/// becomes all requests, an intersection the operand with fewer cells.
 const MAX_CELLS: usize = 16;
 
-/// Fields and what each may be; the others may be anything. Sorted by field.
+/// A product of domains: the domain of each listed field, sorted by field. Other fields may have any value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Cell(pub(crate) Vec<(Field, Domain)>);
 
@@ -31,24 +33,24 @@
         }
     }
 
-    /// Whether there may be anything in both.
+    /// Whether the cells may have a common request.
     pub(crate) fn may_intersect(&self, other: &Cell) -> bool {
         other.0.iter().all(|(f, d)| self.get(*f).is_none_or(|mine| mine.may_intersect(d)))
     }
 
-    /// Pieces that its domains are written down in.
+    /// Number of pieces of its domains, plus one.
     pub(crate) fn pieces(&self) -> usize {
         1 + self.0.iter().map(|(_, d)| d.pieces()).sum::<usize>()
     }
 
-    /// What is in both; `None` where nothing is. The second: whether that is exact.
+    /// The intersection and whether it is exact; `None` if it is empty.
     pub(crate) fn intersection(&self, other: &Cell) -> Option<(Cell, bool)> {
         let (mut out, mut exact) = (self.clone(), true);
         for (field, domain) in &other.0 {
             let both = match out.get(*field) {
                 Some(mine) => {
-                    let (both, is) = mine.intersection(domain);
-                    exact &= is;
+                    let (both, is_exact) = mine.intersection(domain);
+                    exact &= is_exact;
                     both
                 }
                 None => domain.clone(),
@@ -61,7 +63,7 @@
         Some((out, exact))
     }
 
-    /// At least what is in this cell and not in the other, in cells.
+    /// Cells that contain every request of this cell that is not in the other.
     pub(crate) fn difference(&self, other: &Cell) -> Vec<Cell> {
         let (mut out, mut rest) = (Vec::new(), self.clone());
         for (field, domain) in &other.0 {
@@ -70,7 +72,7 @@
                 Some(mine) => Some(mine.difference(domain)),
                 None => domain.complement(),
             };
-            // Where the outside can't be written down it may be all of this cell.
+            // A difference that cannot be represented is over-approximated by the whole domain.
             let outside = outside.or_else(|| mine.clone());
             match outside {
                 None => return vec![self.clone()],
@@ -88,11 +90,11 @@
     }
 }
 
-/// Cells that together hold every request for which a condition holds.
+/// Cells that together contain every request for which a condition holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Region {
     pub(crate) cells: Vec<Cell>,
-    /// Whether they hold no other.
+    /// Whether the cells contain no other requests.
     pub(crate) exact: bool,
 }
 
@@ -112,8 +114,8 @@
 
     fn intersection(&self, other: &Region) -> Region {
         if self.cells.len() * other.cells.len() > MAX_CELLS {
-            let narrower = if self.cells.len() <= other.cells.len() { self } else { other };
-            return Region { cells: narrower.cells.clone(), exact: false };
+            let smaller = if self.cells.len() <= other.cells.len() { self } else { other };
+            return Region { cells: smaller.cells.clone(), exact: false };
         }
         let mut out = Region { cells: Vec::new(), exact: self.exact && other.exact };
         for a in &self.cells {
@@ -125,20 +127,20 @@
         out
     }
 
-    /// What is in any of them. Cells of one field alone become one.
+    /// The union. Cells that constrain only the same single field are merged into one.
     fn union(all: impl Iterator<Item = Region>) -> Region {
         let mut out = Region::none();
-        let mut single: BTreeMap<Field, Vec<Domain>> = BTreeMap::new();
+        let mut single_field: BTreeMap<Field, Vec<Domain>> = BTreeMap::new();
         for region in all {
             out.exact &= region.exact;
             for mut cell in region.cells {
                 match (cell.0.len(), cell.0.pop()) {
-                    (1, Some((field, domain))) => single.entry(field).or_default().push(domain),
+                    (1, Some((field, domain))) => single_field.entry(field).or_default().push(domain),
                     (_, Some(last)) => {
                         cell.0.push(last);
                         out.cells.push(cell);
                     }
-                    // One of them is everything, for certain where it is exact.
+                    // A cell without constraints contains all requests.
                     (_, None) => return Region::all(region.exact),
                 }
             }
@@ -146,7 +148,7 @@
                 return Region::all(false);
             }
         }
-        out.cells.extend(single.into_iter().map(|(f, all)| Cell::of(f, Domain::union(all))));
+        out.cells.extend(single_field.into_iter().map(|(f, all)| Cell::of(f, Domain::union(all))));
         if out.cells.len() > MAX_CELLS {
             Region::all(false)
         } else {
@@ -155,7 +157,7 @@
     }
 }
 
-/// What is known of names given by `let`: constants, and regions for true and for false.
+/// The `let` bindings: constant values, and the regions in which a boolean is false and true.
 #[derive(Debug, Default)]
 pub(crate) struct Bindings {
     constants: HashMap<String, Expr>,
@@ -163,7 +165,8 @@
 }
 
 impl Bindings {
-    /// Lets in their order; each is read once, so that sharing costs nothing.
+    /// Adds a binding. Bindings must be added in their order, and each is analyzed once, however often it is
+    /// used.
     pub(crate) fn add(&mut self, name: &str, value: &Expr) {
         let constant = match (self.int(value), &value.kind) {
             (Some(n), _) => Some(ExprKind::Int(n)),
@@ -178,7 +181,7 @@
         self.regions.insert(name.to_owned(), regions);
     }
 
-    /// For which requests a condition is `wanted`.
+    /// The region in which the value of a condition is `wanted`.
     pub(crate) fn region(&self, e: &Expr, wanted: bool) -> Region {
         let all = |terms: &[Expr]| {
             terms.iter().fold(Region::all(true), |r, t| {
@@ -198,10 +201,11 @@
             ExprKind::And(terms) => any(terms),
             ExprKind::Or(terms) if wanted => any(terms),
             ExprKind::Or(terms) => all(terms),
-            ExprKind::If(test, yes, no) => {
-                let way =
-                    |truth: bool, e: &Expr| self.region(test, truth).intersection(&self.region(e, wanted));
-                Region::union([way(true, yes), way(false, no)].into_iter())
+            ExprKind::If(condition, then_value, else_value) => {
+                let branch = |truth: bool, e: &Expr| {
+                    self.region(condition, truth).intersection(&self.region(e, wanted))
+                };
+                Region::union([branch(true, then_value), branch(false, else_value)].into_iter())
             }
             ExprKind::Name(name) => match (field(name), self.regions.get(name)) {
                 (Some(f), _) => Region::of(f, Domain::range(i64::from(wanted), i64::from(wanted)), true),
@@ -209,9 +213,10 @@
                 (None, None) => Region::all(false),
             },
             ExprKind::Compare(c, a, b) => {
-                let told =
+                let comparison =
                     self.comparison_domain(*c, a, b).or_else(|| self.comparison_domain(c.flipped(), b, a));
-                told.map_or_else(|| Region::all(false), |(f, d, exact)| region_where(f, &d, exact, wanted))
+                comparison
+                    .map_or_else(|| Region::all(false), |(f, d, exact)| region_where(f, &d, exact, wanted))
             }
             ExprKind::In(value, items) => self
                 .membership_domain(value, items)
@@ -229,7 +234,7 @@
         }
     }
 
-    /// The number that an expression always is.
+    /// The value of a constant numeric expression.
     pub(crate) fn int(&self, e: &Expr) -> Option<i64> {
         match &e.kind {
             ExprKind::Int(n) | ExprKind::Size(n) | ExprKind::Duration(n) => Some(*n),
@@ -249,7 +254,8 @@
         }
     }
 
-    /// A field against a constant.
+    /// The field and domain for which a comparison of a field with a constant is true, and whether it is
+    /// exact.
     fn comparison_domain(&self, c: Comparison, a: &Expr, b: &Expr) -> Option<(Field, Domain, bool)> {
         let (field, divisor) = self.divided_field(a)?;
         if let Some(n) = self.int(b) {
@@ -276,6 +282,7 @@
         }
     }
 
+    /// The field and domain for which an `in` test is true.
     fn membership_domain(&self, value: &Expr, items: &[Expr]) -> Option<(Field, Domain)> {
         let (field, divisor) = self.divided_field(value)?;
         if items.iter().all(|i| matches!(i.kind, ExprKind::Text(_))) {
@@ -286,7 +293,7 @@
         Some((field, Domain::ranges(ranges?)))
     }
 
-    /// A field, whole or cut into runs of so many.
+    /// The field and divisor of `field` (divisor 1) or `field / constant`.
     fn divided_field(&self, e: &Expr) -> Option<(Field, i64)> {
         match &e.kind {
             ExprKind::Name(n) => Some((field(n)?, 1)),
@@ -299,14 +306,15 @@
     }
 }
 
-/// Values that give `n` when divided by `by`; `None` where they lie beyond 64 bits. Fields are never below 0, so what
-/// is said of values below it does not matter as long as the ends are in order.
+/// The range of values whose quotient by `by` is `n`; `None` if it exceeds 64 bits. Fields are never
+/// negative, so the range for a negative quotient only needs its ends in order.
 fn quotient_range(n: i64, by: i64) -> Option<(i64, i64)> {
     let first = n.checked_mul(by)?;
     let last = first.saturating_add(by - 1);
     Some(if n < 0 { (first, n.max(first)) } else { (first, last) })
 }
 
+/// The region in which `field` lies in `domain`, or outside of it if not `wanted`.
 fn region_where(field: Field, domain: &Domain, exact: bool, wanted: bool) -> Region {
     if wanted {
         return Region::of(field, domain.clone(), exact);
@@ -317,7 +325,8 @@
     }
 }
 
-/// What `starts_with` and `glob` ask of the beginning of a text, and whether that is all they ask.
+/// The pattern that `starts_with` or `glob` requires of a text, and whether the pattern is equivalent to the
+/// call.
 fn prefix_pattern(function: &str, arguments: &[Expr]) -> Option<(Pattern, bool)> {
     let Some(ExprKind::Text(t)) = arguments.get(1).map(|a| &a.kind) else { return None };
     match function {
@@ -341,14 +350,14 @@
     }
 }
 
-/// What requests there are: no field is below 0, and some have few values.
+/// The cell of all possible requests: no field is negative, and some fields have few values.
 pub(crate) fn all_requests() -> Cell {
-    let words = |all: &[&str]| Domain::texts(all.iter().map(|w| Pattern::Exact((*w).to_owned())).collect());
+    let texts = |all: &[&str]| Domain::texts(all.iter().map(|w| Pattern::Exact((*w).to_owned())).collect());
     let mut out = Cell::default();
     for (_, field, _) in FIELDS {
         let domain = match field {
-            Field::Op => words(&crate::compile::OPERATIONS),
-            Field::Direction => words(&crate::compile::DIRECTIONS),
+            Field::Op => texts(&crate::compile::OPERATIONS),
+            Field::Direction => texts(&crate::compile::DIRECTIONS),
             Field::Volume | Field::Plan | Field::Initiator | Field::Target => {
                 Domain::AllExcept(BTreeSet::new())
             }
--- a/crates/match/src/rules.rs
+++ b/crates/match/src/rules.rs
@@ -1,4 +1,4 @@
-//! A compiled file.
+//! Compiled rules and their evaluation.
 
 use crate::ast::Row;
 use crate::compile::Compiler;
@@ -12,13 +12,13 @@
 use crate::region::{Bindings, Region};
 use std::collections::{HashMap, HashSet};
 
-/// Longest file, bytes.
+/// Maximum size of a file, in bytes.
 const MAX_FILE_BYTES: usize = 4 << 20;
 
-/// A list of rows with their results, in order.
+/// The rows of `class` or of `plan`, in order.
 #[derive(Clone, Debug)]
 struct RowList {
-    /// Result and where its condition begins; `None` for `otherwise`.
+    /// The name that each row assigns, and the first instruction of its condition (`None` for `otherwise`).
     rows: Vec<(String, Option<u32>)>,
     tree: DecisionTree,
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// What a file says of requests: compiled, checked, and bounded in cost.
+/// Compiled rules: assign a class, a plan and a key to each request, at a bounded cost.
 #[derive(Clone, Debug)]
 pub struct Rules {
     program: Program,
@@ -55,40 +55,40 @@
     key: Option<u32>,
     warnings: Diagnostics,
     worst_steps: u64,
-    /// For each row, the position of its class among the names.
+    /// For each class row, the index of its class in [`Rules::class_names`].
     class_indices: Vec<usize>,
-    /// Where each row of the classes may match.
+    /// The region of each class row.
     regions: Vec<Region>,
-    /// Where each row of the classes stands.
+    /// The source span of each class row.
     spans: Vec<Span>,
     plan_spans: Vec<Span>,
     lets: Vec<String>,
     key_dependencies: Option<KeyDependencies>,
 }
 
-/// A test within a row, as it came out for a request.
+/// A test of a row and its result for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestTrace {
-    /// Where it stands.
+    /// Source span of the test.
     pub span: Span,
-    /// What it gave.
+    /// Result of the test.
     pub outcome: bool,
-    /// The values that it was about, in their order.
+    /// Values of the operands, in order.
     pub operands: Vec<String>,
 }
 
-/// A row as it was tried for a request.
+/// The evaluation of a row for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowTrace {
-    /// The class that it gives.
+    /// The class that the row assigns.
     pub class: String,
-    /// Where it stands.
+    /// Source span of the row.
     pub span: Span,
-    /// Whether it matched.
+    /// Whether the row matched.
     pub matched: bool,
-    /// Steps that it took.
+    /// Steps of the evaluation.
     pub steps: u64,
-    /// Its tests up to where the answer was settled.
+    /// The tests that were evaluated, in order; tests after a short circuit are missing.
     pub tests: Vec<TestTrace>,
 }
 
@@ -112,86 +112,86 @@
     }
 }
 
-/// How a request got its class.
+/// Explains how a request was assigned its class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// Names given by `let`, and their values for this request.
+    /// The `let` definitions and their values for this request.
     pub lets: Vec<(String, String)>,
-    /// Rows up to the one that matched.
+    /// The rows up to the one that matched.
     pub rows: Vec<RowTrace>,
-    /// Steps that the host takes for the class, rather than row by row.
+    /// Steps of the host for the class, which uses the decision tree instead of trying each row.
     pub steps: u64,
 }
 
 impl Rules {
-    /// Reads, checks and compiles a file.
+    /// Compiles a file.
     ///
     /// # Errors
-    /// All faults of the file, in order of their places.
+    /// All errors of the file, in the order of their spans.
     pub fn compile(text: &[u8]) -> Result<Rules, Diagnostics> {
         Self::compile_with_limit(text, u64::MAX)
     }
 
-    /// The same, with a bound on the steps that class, plan and key of one request may take.
+    /// Compiles a file with a limit on the steps that class, plan and key of one request may take.
     ///
     /// # Errors
-    /// All faults of the file, or the one that a request may take more.
+    /// All errors of the file, in the order of their spans; or a single one if the limit is exceeded.
     pub fn compile_with_limit(text: &[u8], max_steps: u64) -> Result<Rules, Diagnostics> {
         let one = |f| Diagnostics(vec![f]);
         let text = as_text(text)?;
         let mut diagnostics = Vec::new();
         let tokens = lex(text, &mut diagnostics);
-        let file = Parser::new(&tokens, &mut diagnostics).file();
-        let mut c = Compiler::new(file.lets.iter().map(|l| l.0.clone()));
+        let file = Parser::new(&tokens, &mut diagnostics).parse_file();
+        let mut compiler = Compiler::new(file.lets.iter().map(|l| l.0.clone()));
         for (name, span, value) in &file.lets {
-            c.add_let(name, *span, value);
+            compiler.add_let(name, *span, value);
         }
-        let class_rows = compile_rows(&mut c, &file.classes);
-        let plan_rows = compile_rows(&mut c, &file.plans);
-        let key = file.key.as_ref().map(|k| c.compile_typed(k, &[Type::Int]));
+        let class_rows = compile_rows(&mut compiler, &file.classes);
+        let plan_rows = compile_rows(&mut compiler, &file.plans);
+        let key = file.key.as_ref().map(|k| compiler.compile_typed(k, &[Type::Int]));
         let end = Span { start: text.len(), end: text.len() };
-        // Where something could not be read, the last row may be among it.
+        // After a syntax error the `otherwise` row may be among the rows that could not be parsed.
         if diagnostics.is_empty() && !file.classes.iter().any(|r| r.condition.is_none()) {
             let diagnostic = Diagnostic::new(end, "some requests would have no class");
             diagnostics.push(diagnostic.help("end the list with `class \"name\" otherwise;`"));
         }
-        diagnostics.append(&mut c.diagnostics);
+        diagnostics.append(&mut compiler.diagnostics);
         if !diagnostics.is_empty() {
             diagnostics.sort_by_key(|f| (f.span.start, f.span.end));
             diagnostics.dedup();
             return Err(Diagnostics(diagnostics));
         }
-        let mut known = Bindings::default();
-        file.lets.iter().for_each(|(name, _, value)| known.add(name, value));
-        let (regions, plan_regions) = (regions(&known, &file.classes), regions(&known, &file.plans));
+        let mut bindings = Bindings::default();
+        file.lets.iter().for_each(|(name, _, value)| bindings.add(name, value));
+        let (regions, plan_regions) = (regions(&bindings, &file.classes), regions(&bindings, &file.plans));
         let warnings =
             [unreachable_rows(&file.classes, &regions), unreachable_rows(&file.plans, &plan_regions)]
                 .concat();
         let classes = RowList { rows: class_rows, tree: DecisionTree::build(&regions) };
         let plans = RowList { rows: plan_rows, tree: DecisionTree::build(&plan_regions) };
-        let worst_from = c.program.worst_from();
-        let lets: u64 = c.program.lets.iter().map(|l| worst_from[*l as usize]).sum();
-        let key_worst = key.map_or(0, |k| worst_from[k as usize]);
+        let worst_from = compiler.program.worst_steps_from();
+        let lets: u64 = compiler.program.lets.iter().map(|l| worst_from[*l as usize]).sum();
+        let key_steps = key.map_or(0, |k| worst_from[k as usize]);
         let worst_steps =
-            3 * lets + classes.worst_steps(&worst_from) + plans.worst_steps(&worst_from) + key_worst;
+            3 * lets + classes.worst_steps(&worst_from) + plans.worst_steps(&worst_from) + key_steps;
         if worst_steps > max_steps {
             let message = format!("a request may take {worst_steps} steps, and {max_steps} are the most");
-            let costs = |list: &RowList| -> Vec<u64> {
+            let row_steps = |list: &RowList| -> Vec<u64> {
                 list.rows.iter().map(|r| r.1.map_or(0, |at| worst_from[at as usize])).collect()
             };
-            let rows = file.classes.iter().zip(costs(&classes)).chain(file.plans.iter().zip(costs(&plans)));
-            let costly = rows.max_by_key(|r| r.1).map_or((end, 0), |(row, cost)| (row.span, cost));
-            let diagnostic = Diagnostic::new(costly.0, message);
-            return Err(one(
-                diagnostic.help(format!("this row is the most expensive one, with {} steps", costly.1))
-            ));
+            let rows =
+                file.classes.iter().zip(row_steps(&classes)).chain(file.plans.iter().zip(row_steps(&plans)));
+            let most_expensive = rows.max_by_key(|r| r.1).map_or((end, 0), |(row, cost)| (row.span, cost));
+            let diagnostic = Diagnostic::new(most_expensive.0, message);
+            return Err(one(diagnostic
+                .help(format!("this row is the most expensive one, with {} steps", most_expensive.1))));
         }
         let mut rules = Rules {
             spans: file.classes.iter().map(|r| r.span).collect(),
             plan_spans: file.plans.iter().map(|r| r.span).collect(),
-            key_dependencies: file.key.as_ref().map(|k| KeyDependencies::of(k, &file.lets, &known)),
+            key_dependencies: file.key.as_ref().map(|k| KeyDependencies::of(k, &file.lets, &bindings)),
             lets: file.lets.iter().map(|(name, ..)| name.clone()).collect(),
-            program: c.program,
+            program: compiler.program,
             classes,
             plans,
             key,
@@ -206,7 +206,7 @@
         Ok(rules)
     }
 
-    /// The class of a request; `None` never, since a file without `otherwise` is refused.
+    /// The class of a request. Never `None`, since files without an `otherwise` row are rejected.
     pub fn class(&self, fields: &Fields<'_>) -> Option<&str> {
         self.class_observed(fields, &mut ())
     }
@@ -216,27 +216,28 @@
         self.classes.rows.get(row).map(|r| r.0.as_str())
     }
 
-    /// The plan that a request counts under, where the file says so.
+    /// The plan of a request, if a plan row matches.
     pub fn plan(&self, fields: &Fields<'_>) -> Option<&str> {
         let row = self.plans.first_match(&self.program, fields, &mut ())?;
         self.plans.rows.get(row).map(|r| r.0.as_str())
     }
 
-    /// The key that orders a request, where the file gives one.
+    /// The ordering key of a request, if the file defines one.
     pub fn key(&self, fields: &Fields<'_>) -> Option<u64> {
         self.key_observed(fields, &mut ())
     }
 
     pub(crate) fn key_observed(&self, fields: &Fields<'_>, observer: &mut impl Observer) -> Option<u64> {
         let key = self.key?;
-        let run = |lets: &[Value<'_>], observer: &mut _| match self.program.run(key, fields, lets, observer) {
-            Value::Int(n) => Some(n as u64),
-            _ => None,
-        };
-        self.program.with_lets(fields, observer, run)
+        let evaluate =
+            |lets: &[Value<'_>], observer: &mut _| match self.program.run(key, fields, lets, observer) {
+                Value::Int(n) => Some(n as u64),
+                _ => None,
+            };
+        self.program.with_lets(fields, observer, evaluate)
     }
 
-    /// How a request got its class: each row up to the one that matched, one by one, with what each test gave.
+    /// Explains the class of a request: evaluates each row up to the one that matches and records the tests.
     pub fn explain(&self, fields: &Fields<'_>) -> Explanation {
         let mut steps = 0;
         self.class_observed(fields, &mut steps);
@@ -256,18 +257,19 @@
         out
     }
 
-    /// What the key is made from, where the file gives one.
+    /// What the ordering key depends on, if the file defines one.
     pub fn key_dependencies(&self) -> Option<&KeyDependencies> {
         self.key_dependencies.as_ref()
     }
 
-    /// Position of a request's class in [`Rules::class_names`].
+    /// The index of a request's class in [`Rules::class_names`].
     pub fn class_index(&self, fields: &Fields<'_>) -> Option<usize> {
         let row = self.classes.first_match(&self.program, fields, &mut ())?;
         self.class_indices.get(row).copied()
     }
 
-    /// The same by trying each row in turn: what the decision tree is measured and tested against.
+    /// Like [`Rules::class_index`], but evaluates each row in turn: the reference for tests and benchmarks of
+    /// the decision tree.
     pub fn class_index_linear(&self, fields: &Fields<'_>) -> Option<usize> {
         let row = self.program.with_lets(fields, &mut (), |lets, observer| {
             let mut holds = |condition: &Option<u32>| {
@@ -279,8 +281,8 @@
         self.class_indices.get(row).copied()
     }
 
-    /// Names of the classes that a request with an `op` may get, as far as the rows before them tell: a class may be
-    /// named that no such request gets, but none is left out.
+    /// The names of the classes that requests with this `op` may be assigned. The result may contain classes
+    /// that no such request is assigned, but omits none.
     pub fn reachable_classes(&self, op: &str) -> Vec<&str> {
         let mut names: Vec<&str> = Vec::new();
         for row in reachable_rows(op, &self.regions) {
@@ -292,35 +294,37 @@
         names
     }
 
-    /// Rows of the classes: what they give and where they stand.
+    /// The class rows: the class that each assigns, and its span.
     pub fn class_rows(&self) -> impl Iterator<Item = (&str, Span)> {
         self.classes.rows.iter().map(|r| r.0.as_str()).zip(self.spans.iter().copied())
     }
 
-    /// Rows of the plans: what they give and where they stand.
+    /// The plan rows: the plan that each assigns, and its span.
     pub fn plan_rows(&self) -> impl Iterator<Item = (&str, Span)> {
         self.plans.rows.iter().map(|r| r.0.as_str()).zip(self.plan_spans.iter().copied())
     }
 
-    /// Names of the classes, in the order of their first rows.
+    /// The names of the classes, in the order of their first rows.
     pub fn class_names(&self) -> Vec<&str> {
         let mut seen = HashSet::new();
         self.classes.rows.iter().map(|r| r.0.as_str()).filter(|n| seen.insert(*n)).collect()
     }
 
-    /// Steps that class, plan and key of one request take at the worst.
+    /// Worst-case number of steps for class, plan and key of one request.
     pub fn worst_steps(&self) -> u64 {
         self.worst_steps
     }
 
-    /// Rows that can never match, as far as it can be told.
+    /// Warnings about rows that provably never match.
     pub fn warnings(&self) -> &Diagnostics {
         &self.warnings
     }
 }
 
+/// Checks the size and encoding of a file.
+///
 /// # Errors
-/// A file that is too long, or no UTF-8.
+/// The file is too long or not valid UTF-8.
 pub(crate) fn as_text(bytes: &[u8]) -> Result<&str, Diagnostics> {
     let diagnostic =
         |start, end, message: String| Diagnostics(vec![Diagnostic::new(Span { start, end }, message)]);
@@ -337,14 +341,16 @@
     })
 }
 
-/// Results of rows, and where their conditions begin in the program.
-fn compile_rows(c: &mut Compiler, rows: &[Row]) -> Vec<(String, Option<u32>)> {
+/// Compiles the conditions of rows: the name that each row assigns, and the first instruction of its
+/// condition.
+fn compile_rows(compiler: &mut Compiler, rows: &[Row]) -> Vec<(String, Option<u32>)> {
     rows.iter()
-        .map(|r| (r.result.clone(), r.condition.as_ref().map(|w| c.compile_typed(w, &[Type::Bool]))))
+        .map(|r| (r.result.clone(), r.condition.as_ref().map(|w| compiler.compile_typed(w, &[Type::Bool]))))
         .collect()
 }
 
-fn regions(known: &Bindings, rows: &[Row]) -> Vec<Region> {
-    let region = |r: &Row| r.condition.as_ref().map_or_else(|| Region::all(true), |w| known.region(w, true));
+fn regions(bindings: &Bindings, rows: &[Row]) -> Vec<Region> {
+    let region =
+        |r: &Row| r.condition.as_ref().map_or_else(|| Region::all(true), |w| bindings.region(w, true));
     rows.iter().map(region).collect()
 }
--- a/crates/match/src/search_trees.rs
+++ b/crates/match/src/search_trees.rs
@@ -1,24 +1,27 @@
-//! Which of many ranges a number lies in, and which of many prefixes a text begins with, without trying each.
+//! Search trees for stabbing queries: all intervals that contain a number, and all prefixes of a text.
 
 use std::collections::BTreeMap;
 
-/// A segment tree: each range stands at a few nodes, and a number's nodes are those from its leaf to the root.
+/// A segment tree: each range is stored at a logarithmic number of nodes, and the ranges that contain a
+/// number are those on the path from its leaf to the root.
 #[derive(Clone, Debug)]
 pub(crate) struct IntervalTree<T> {
-    /// Where each leaf begins; the first at the lowest number.
+    /// The lowest number of each leaf; that of the first leaf is `i64::MIN`.
     starts: Vec<i64>,
-    /// Leaves from `size` on; the parent of `i` is `i / 2`, the root 1.
+    /// The tree as an array: the root is 1, the parent of `i` is `i / 2`, and the leaves begin at
+    /// `leaf_count`.
     nodes: Vec<Option<T>>,
-    /// The nearest node from each upwards, itself first, that has a value; 0: none. Most have none.
+    /// For each node the closest node with a value on the path to the root, itself included; 0 if there is
+    /// none. Most nodes have no value, and queries skip them.
     nearest_valued: Vec<u32>,
-    size: usize,
+    leaf_count: usize,
 }
 
 impl<T> IntervalTree<T> {
-    /// Over ranges with both ends in; `make` turns what stands at one node into its value.
+    /// Builds a tree from inclusive ranges; `make_value` turns the items of one node into its value.
     pub(crate) fn build<E: Copy>(
         ranges: &[(i64, i64, E)],
-        mut make: impl FnMut(Vec<E>) -> T,
+        mut make_value: impl FnMut(Vec<E>) -> T,
     ) -> IntervalTree<T> {
         let mut starts = vec![i64::MIN];
         for (from, to, _) in ranges {
@@ -27,9 +30,9 @@
         }
         starts.sort_unstable();
         starts.dedup();
-        let size = starts.len().next_power_of_two();
-        let mut at: Vec<Vec<E>> = (0..2 * size).map(|_| Vec::new()).collect();
-        let leaf = |n: i64| size + starts.partition_point(|s| *s <= n) - 1;
+        let leaf_count = starts.len().next_power_of_two();
+        let mut at: Vec<Vec<E>> = (0..2 * leaf_count).map(|_| Vec::new()).collect();
+        let leaf = |n: i64| leaf_count + starts.partition_point(|s| *s <= n) - 1;
         for (from, to, e) in ranges.iter().filter(|(from, to, _)| from <= to) {
             let (mut l, mut r) = (leaf(*from), leaf(*to) + 1);
             while l < r {
@@ -44,39 +47,40 @@
                 (l, r) = (l / 2, r / 2);
             }
         }
-        let nodes: Vec<Option<T>> = at.into_iter().map(|es| (!es.is_empty()).then(|| make(es))).collect();
+        let nodes: Vec<Option<T>> =
+            at.into_iter().map(|es| (!es.is_empty()).then(|| make_value(es))).collect();
         let mut nearest_valued = vec![0u32; nodes.len()];
         for i in 1..nodes.len() {
             nearest_valued[i] = if nodes[i].is_some() { i as u32 } else { nearest_valued[i / 2] };
         }
-        IntervalTree { starts, nodes, nearest_valued, size }
+        IntervalTree { starts, nodes, nearest_valued, leaf_count }
     }
 
-    /// Values at all nodes whose ranges hold the number.
+    /// The values of all nodes whose range contains the number.
     pub(crate) fn containing(&self, n: i64) -> impl Iterator<Item = &T> {
-        let leaf = self.size + self.starts.partition_point(|s| *s <= n) - 1;
+        let leaf = self.leaf_count + self.starts.partition_point(|s| *s <= n) - 1;
         let from = |i: usize| (self.nearest_valued[i] > 0).then_some(self.nearest_valued[i] as usize);
-        let up = std::iter::successors(from(leaf), move |i| from(i / 2));
-        up.filter_map(|i| self.nodes[i].as_ref())
+        let path = std::iter::successors(from(leaf), move |i| from(i / 2));
+        path.filter_map(|i| self.nodes[i].as_ref())
     }
 
-    /// Steps of finding the leaf and walking up.
+    /// Steps of a query: the binary search for the leaf and the path to the root.
     pub(crate) fn steps(&self) -> u64 {
-        2 * u64::from(self.size.ilog2()) + 1
+        2 * u64::from(self.leaf_count.ilog2()) + 1
     }
 
-    /// The most that one number's nodes come to.
+    /// The maximum sum over the nodes of one number, for given costs of values.
     pub(crate) fn max_path_sum(&self, value_of: &dyn Fn(&T) -> u64) -> u64 {
         let mut sums = vec![0u64; self.nodes.len()];
         for i in 1..self.nodes.len() {
-            let own = self.nodes[i].as_ref().map_or(0, value_of);
-            sums[i] = sums[i / 2] + own;
+            let value_sum = self.nodes[i].as_ref().map_or(0, value_of);
+            sums[i] = sums[i / 2] + value_sum;
         }
         sums.into_iter().max().unwrap_or(0)
     }
 }
 
-/// Texts by how they begin; a node holds what its text adds to its parent's.
+/// A radix tree of prefixes; the label of a node is what its prefix adds to that of its parent.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixTree<T> {
     nodes: Vec<Node<T>>,
@@ -86,7 +90,7 @@
 struct Node<T> {
     label: Box<[u8]>,
     value: Option<T>,
-    /// In order of the first bytes of their labels.
+    /// Indices of the child nodes, sorted by the first byte of their labels.
     children: Vec<usize>,
 }
 
@@ -100,13 +104,14 @@
         out
     }
 
+    /// The position of the child with this first byte, or the position at which to insert it.
     fn child(&self, node: usize, first: u8) -> Result<usize, usize> {
         self.nodes[node]
             .children
             .binary_search_by_key(&Some(first), |c| self.nodes[*c].label.first().copied())
     }
 
-    /// In order of the texts, so that a text that begins another comes before it.
+    /// Inserts a prefix.
     fn insert(&mut self, mut rest: &[u8], value: T) {
         let mut at = 0;
         while let Some(first) = rest.first() {
@@ -122,10 +127,12 @@
             };
             let child = self.nodes[at].children[position];
             let label = &self.nodes[child].label;
-            let same = label.iter().zip(rest).take_while(|(a, b)| a == b).count();
-            if same < label.len() {
-                // They part within the label: a node for what they share takes its place.
-                let (head, tail): (Box<[u8]>, Box<[u8]>) = (label[..same].into(), label[same..].into());
+            let common_len = label.iter().zip(rest).take_while(|(a, b)| a == b).count();
+            if common_len < label.len() {
+                // The texts differ within the label: a new node for the common part takes the place of the
+                // child.
+                let (head, tail): (Box<[u8]>, Box<[u8]>) =
+                    (label[..common_len].into(), label[common_len..].into());
                 self.nodes[child].label = tail;
                 self.nodes.push(Node { label: head, value: None, children: vec![child] });
                 let new = self.nodes.len() - 1;
@@ -134,12 +141,12 @@
             } else {
                 at = child;
             }
-            rest = &rest[same..];
+            rest = &rest[common_len..];
         }
         self.nodes[at].value = Some(value);
     }
 
-    /// Values of all prefixes that the text begins with.
+    /// The values of all prefixes of the text, shortest first.
     pub(crate) fn prefixes_of<'a>(&'a self, text: &'a str) -> impl Iterator<Item = &'a T> + 'a {
         let below = move |(node, rest): &(usize, &'a [u8])| {
             let child = self.nodes[*node].children[self.child(*node, *rest.first()?).ok()?];
@@ -149,16 +156,16 @@
         path.filter_map(|(node, _)| self.nodes[node].value.as_ref())
     }
 
-    /// The most that the prefixes of one text come to.
+    /// The maximum sum over the prefixes of one text, for given costs of values.
     pub(crate) fn max_path_sum(&self, value_of: &dyn Fn(&T) -> u64) -> u64 {
-        let mut most = 0;
-        let mut open = vec![(0usize, 0u64)];
-        while let Some((node, before)) = open.pop() {
+        let mut max_sum = 0;
+        let mut pending = vec![(0usize, 0u64)];
+        while let Some((node, before)) = pending.pop() {
             let sum = before + self.nodes[node].value.as_ref().map_or(0, value_of);
-            most = most.max(sum);
-            open.extend(self.nodes[node].children.iter().map(|c| (*c, sum)));
+            max_sum = max_sum.max(sum);
+            pending.extend(self.nodes[node].children.iter().map(|c| (*c, sum)));
         }
-        most
+        max_sum
     }
 }
 
@@ -172,7 +179,7 @@
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(400) })]
 
         #[test]
-        fn a_number_finds_the_ranges_that_hold_it(
+        fn interval_tree_finds_all_ranges_that_contain_a_number(
             ranges in proptest::collection::vec((prop_oneof![-9i64..40, Just(i64::MIN), Just(i64::MAX)],
                 prop_oneof![-9i64..40, Just(i64::MIN), Just(i64::MAX)]), 0..30),
             n in prop_oneof![-12i64..45, Just(i64::MIN), Just(i64::MAX)],
@@ -181,22 +188,22 @@
             let intervals = IntervalTree::build(&ranges, |es| es);
             let mut found: Vec<usize> = intervals.containing(n).flatten().copied().collect();
             found.sort_unstable();
-            let plain: Vec<usize> = ranges.iter().filter(|r| r.0 <= n && n <= r.1).map(|r| r.2).collect();
+            let expected: Vec<usize> = ranges.iter().filter(|r| r.0 <= n && n <= r.1).map(|r| r.2).collect();
             prop_assert!(intervals.max_path_sum(&|es| es.len() as u64) >= found.len() as u64);
-            prop_assert_eq!(found, plain);
+            prop_assert_eq!(found, expected);
         }
 
         #[test]
-        fn a_text_finds_the_prefixes_that_it_begins_with(
+        fn prefix_tree_finds_all_prefixes_of_a_text(
             prefixes in proptest::collection::btree_set("[ab\u{e4}\u{f6}]{0,6}", 0..30), text in "[ab\u{e4}\u{f6}]{0,8}",
         ) {
             let all = prefixes.iter().map(|p| (p.clone(), p.clone())).collect();
             let tree = PrefixTree::build(all);
             let found: Vec<&String> = tree.prefixes_of(&text).collect();
-            let mut plain: Vec<&String> = prefixes.iter().filter(|p| text.starts_with(p.as_str())).collect();
-            plain.sort_by_key(|p| p.len());
+            let mut expected: Vec<&String> = prefixes.iter().filter(|p| text.starts_with(p.as_str())).collect();
+            expected.sort_by_key(|p| p.len());
             prop_assert!(tree.max_path_sum(&|_| 1) >= found.len() as u64);
-            prop_assert_eq!(found, plain);
+            prop_assert_eq!(found, expected);
         }
     }
 }
--- a/crates/match/src/tests.rs
+++ b/crates/match/src/tests.rs
@@ -45,7 +45,7 @@
 fn plain(text: &str, f: &Fields<'_>) -> (Option<String>, Option<u64>) {
     let mut diagnostics = Vec::new();
     let tokens = lex(text, &mut diagnostics);
-    let file = Parser::new(&tokens, &mut diagnostics).file();
+    let file = Parser::new(&tokens, &mut diagnostics).parse_file();
     assert!(diagnostics.is_empty(), "{diagnostics:?}");
     let holds = |r: &&Row| r.condition.as_ref().is_none_or(|w| walk(w, f, &file.lets) == Value::Bool(true));
     let key = file.key.as_ref().map(|k| match walk(k, f, &file.lets) {
@@ -176,7 +176,7 @@
     ) {
         let file_text = drawn(std::slice::from_ref(&text), "1");
         let mut diagnostics = Vec::new();
-        let file = Parser::new(&lex(&file_text, &mut diagnostics), &mut diagnostics).file();
+        let file = Parser::new(&lex(&file_text, &mut diagnostics), &mut diagnostics).parse_file();
         let mut known = Bindings::default();
         file.lets.iter().for_each(|l| known.add(&l.0, &l.2));
         let condition = file.classes[0].condition.as_ref().expect("a condition");
