--- a/crates/match/benches/rows.rs
+++ b/crates/match/benches/rows.rs
@@ -1,4 +1,5 @@
-//! A request's class among 1, 100 and 10,000 rows: the decision tree against trying each row, in one run.
+//! Benchmarks the classification of a request by 1, 100 and 10,000 rows: decision tree versus linear
+//! evaluation.
 //!
 //! `cargo bench -p pearfork-match --bench rows`
 
@@ -6,10 +7,10 @@
 use pearfork_match::{Fields, Rules};
 use std::hint::black_box;
 
-/// A row's condition, by its number.
+/// The condition of a row, given its number.
 type Row = fn(usize) -> String;
 
-/// How rows tell requests apart.
+/// Kinds of conditions by which rows distinguish requests.
 const KINDS: [(&str, Row); 4] = [
     ("by name", |i| format!("volume == \"volume-{i}\" and op in [\"read\", \"verify\"] and bytes <= 64KiB")),
     ("by range", |i| format!("lba >= {} and lba < {} and bytes <= 64KiB", i * 100, i * 100 + 90)),
@@ -27,15 +28,15 @@
         let mut group = c.benchmark_group(kind);
         for n in [1usize, 100, 10_000] {
             let rules = Rules::compile(file(n, row).as_bytes()).expect("a good file");
-            let picked: Vec<usize> = (0..64).map(|i| i * 7919 % n).collect();
-            let names: Vec<String> = picked
+            let row_numbers: Vec<usize> = (0..64).map(|i| i * 7919 % n).collect();
+            let names: Vec<String> = row_numbers
                 .iter()
                 .map(
                     |i| if kind == "by prefix" { format!("volume-{i}-notes") } else { format!("volume-{i}") },
                 )
                 .collect();
             let step = if kind == "by range" { 100 } else { 2048 };
-            let lbas: Vec<u64> = picked.iter().map(|i| (i * step + 7) as u64).collect();
+            let lbas: Vec<u64> = row_numbers.iter().map(|i| (i * step + 7) as u64).collect();
             let mut at = 0;
             let mut next = || {
                 at = (at + 1) % names.len();
@@ -47,7 +48,8 @@
                     ..Fields::default()
                 }
             };
-            // A row is found, or the figures would be of something else.
+            // Every request must match one of the generated rows, or the benchmark would measure the
+            // `otherwise` row.
             assert!((0..64).all(|_| rules.class_index(&next()).is_some_and(|c| c < n)));
             group.bench_function(BenchmarkId::new("tree", n), |b| {
                 b.iter(|| black_box(rules.class_index(&next())))
--- a/crates/match/src/tests.rs
+++ b/crates/match/src/tests.rs
@@ -1,4 +1,5 @@
-//! A second, plain evaluator over trees agrees on every program; refused files say why; costs hold.
+//! Property tests against a reference evaluator that walks the syntax tree, and tests of limits and
+//! diagnostics.
 
 use crate::ast::{Expr, ExprKind, Row};
 use crate::domain::{Domain, Pattern};
@@ -10,7 +11,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Walks the tree, with lets put in place of their names.
+/// Evaluates an expression by walking the tree; `let` definitions are evaluated at each use.
 fn walk<'a>(e: &'a Expr, f: &Fields<'a>, lets: &'a [(String, crate::Span, Expr)]) -> Value<'a> {
     let truth = |e: &'a Expr| walk(e, f, lets) == Value::Bool(true);
     let int = |e: &'a Expr| if let Value::Int(n) = walk(e, f, lets) { n } else { 0 };
@@ -41,8 +42,8 @@
     }
 }
 
-/// The result of the first row, one after the other.
-fn plain(text: &str, f: &Fields<'_>) -> (Option<String>, Option<u64>) {
+/// Reference evaluation: the class of the first row that matches, and the key.
+fn reference(text: &str, f: &Fields<'_>) -> (Option<String>, Option<u64>) {
     let mut diagnostics = Vec::new();
     let tokens = lex(text, &mut diagnostics);
     let file = Parser::new(&tokens, &mut diagnostics).parse_file();
@@ -55,7 +56,7 @@
     (file.classes.iter().find(holds).map(|r| r.result.clone()), key)
 }
 
-fn int(depth: u32) -> BoxedStrategy<String> {
+fn int_expression(depth: u32) -> BoxedStrategy<String> {
     let leaf = prop_oneof![
         Just("lba".to_owned()),
         Just("blocks".to_owned()),
@@ -72,16 +73,16 @@
     let op = prop_oneof![Just("+"), Just("-"), Just("*"), Just("/"), Just("%")];
     prop_oneof![
         leaf,
-        (int(depth - 1), op, int(depth - 1))
+        (int_expression(depth - 1), op, int_expression(depth - 1))
             .prop_map(|(a, o, b)| format!("(if true then {a} else 1) {o} (lba + {b})")),
-        (truth(depth - 1), int(depth - 1), int(depth - 1))
+        (bool_expression(depth - 1), int_expression(depth - 1), int_expression(depth - 1))
             .prop_map(|(t, a, b)| format!("(if {t} then {a} else {b})")),
-        (int(depth - 1), Just("volume")).prop_map(|(a, b)| format!("hash({a}, {b}, fua)")),
+        (int_expression(depth - 1), Just("volume")).prop_map(|(a, b)| format!("hash({a}, {b}, fua)")),
     ]
     .boxed()
 }
 
-fn truth(depth: u32) -> BoxedStrategy<String> {
+fn bool_expression(depth: u32) -> BoxedStrategy<String> {
     let c = || prop_oneof![Just("=="), Just("!="), Just("<"), Just("<="), Just(">"), Just(">=")];
     let leaf = prop_oneof![
         Just("fua".to_owned()),
@@ -107,16 +108,18 @@
     }
     prop_oneof![
         leaf,
-        (int(depth - 1), c(), int(depth - 1)).prop_map(|(a, c, b)| format!("{a} {c} {b}")),
-        truth(depth - 1).prop_map(|a| format!("not ({a})")),
-        (truth(depth - 1), truth(depth - 1)).prop_map(|(a, b)| format!("({a}) and ({b})")),
-        (truth(depth - 1), truth(depth - 1)).prop_map(|(a, b)| format!("({a} or {b})")),
+        (int_expression(depth - 1), c(), int_expression(depth - 1))
+            .prop_map(|(a, c, b)| format!("{a} {c} {b}")),
+        bool_expression(depth - 1).prop_map(|a| format!("not ({a})")),
+        (bool_expression(depth - 1), bool_expression(depth - 1))
+            .prop_map(|(a, b)| format!("({a}) and ({b})")),
+        (bool_expression(depth - 1), bool_expression(depth - 1)).prop_map(|(a, b)| format!("({a} or {b})")),
     ]
     .boxed()
 }
 
-/// A file of rows, and what of it the tests look at.
-fn drawn(rows: &[String], key: &str) -> String {
+/// A file with a class row for each condition, and a key.
+fn rules_text(rows: &[String], key: &str) -> String {
     let mut text =
         "let number = lba % 77 + 1;\nlet flag = number > 30 or fua;\nlet eight = 2 * 4;\n".to_owned();
     for (i, r) in rows.iter().enumerate() {
@@ -125,20 +128,21 @@
     text + &format!("class \"rest\" otherwise;\nkey = {key};\n")
 }
 
-type Drawn = (&'static str, String, String, u64, u64, u16, bool);
+/// The parts of a request: op, volume, initiator, lba, blocks, lun, fua.
+type RequestParts = (&'static str, String, String, u64, u64, u16, bool);
 
 prop_compose! {
-    /// Requests near the constants of drawn rows.
-    fn near()(
+    /// Requests with values close to the constants of generated rows.
+    fn request_parts()(
         op in prop_oneof![Just("read"), Just("write"), Just("flush")],
         volume in "[ab]{0,3}", initiator in "[ab]{0,8}",
         lba in prop_oneof![0u64..45, any::<u64>()], blocks in prop_oneof![0u64..45, 0u64..3000], lun in 0u16..9, fua: bool,
-    ) -> Drawn {
+    ) -> RequestParts {
         (op, volume, initiator, lba, blocks, lun, fua)
     }
 }
 
-fn fields(r: &Drawn) -> Fields<'_> {
+fn fields(r: &RequestParts) -> Fields<'_> {
     let (op, volume, initiator, lba, blocks, lun, fua) = r;
     Fields {
         op,
@@ -153,8 +157,8 @@
     }
 }
 
-/// Whether a request lies in a cell, by plain reading.
-fn lies_in(cell: &Cell, f: &Fields<'_>) -> bool {
+/// Reference implementation: whether a cell contains a request.
+fn cell_contains(cell: &Cell, f: &Fields<'_>) -> bool {
     cell.0.iter().all(|(field, domain)| match (f.value(*field), domain) {
         (Value::Int(n), Domain::Ints(r)) => r.iter().any(|r| r.0 <= n && n <= r.1),
         (Value::Bool(b), Domain::Ints(r)) => r.iter().any(|r| r.0 <= i64::from(b) && i64::from(b) <= r.1),
@@ -171,10 +175,10 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(600) })]
 
     #[test]
-    fn regions_hold_what_their_conditions_hold_and_exact_ones_nothing_else(
-        text in truth(3), requests in proptest::collection::vec(near(), 24),
+    fn regions_contain_all_matching_requests_and_exact_ones_no_others(
+        text in bool_expression(3), requests in proptest::collection::vec(request_parts(), 24),
     ) {
-        let file_text = drawn(std::slice::from_ref(&text), "1");
+        let file_text = rules_text(std::slice::from_ref(&text), "1");
         let mut diagnostics = Vec::new();
         let file = Parser::new(&lex(&file_text, &mut diagnostics), &mut diagnostics).parse_file();
         let mut known = Bindings::default();
@@ -185,18 +189,18 @@
             for r in &requests {
                 let f = fields(r);
                 let holds = (walk(condition, &f, &file.lets) == Value::Bool(true)) == wanted;
-                let within = region.cells.iter().any(|c| lies_in(c, &f));
-                prop_assert!(!holds || within, "{text} {f:?} left out of {region:?}");
-                prop_assert!(!within || holds || !region.exact, "{text} {f:?} is not in {region:?}");
+                let is_contained = region.cells.iter().any(|c| cell_contains(c, &f));
+                prop_assert!(!holds || is_contained, "{text} {f:?} left out of {region:?}");
+                prop_assert!(!is_contained || holds || !region.exact, "{text} {f:?} is not in {region:?}");
             }
         }
     }
 
     #[test]
-    fn a_row_that_is_said_never_to_match_does_not(
-        rows in proptest::collection::vec(truth(1), 0..12), requests in proptest::collection::vec(near(), 40),
+    fn rows_with_a_never_matches_warning_never_match(
+        rows in proptest::collection::vec(bool_expression(1), 0..12), requests in proptest::collection::vec(request_parts(), 40),
     ) {
-        let text = drawn(&rows, "1");
+        let text = rules_text(&rows, "1");
         let Ok(rules) = Rules::compile(text.as_bytes()) else { return Ok(()) };
         for r in &requests {
             let explained = rules.explain(&fields(r));
@@ -214,18 +218,19 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn both_evaluators_agree_and_no_evaluation_passes_its_bound(
-        rows in proptest::collection::vec(truth(3), 0..40),
-        key in int(2),
-        request in near(),
+    fn compiled_rules_agree_with_the_reference_within_their_step_bound(
+        rows in proptest::collection::vec(bool_expression(3), 0..40),
+        key in int_expression(2),
+        request in request_parts(),
     ) {
-        let text = drawn(&rows, &key);
+        let text = rules_text(&rows, &key);
         let rules = match Rules::compile(text.as_bytes()) {
             Ok(rules) => rules,
-            // A drawn constant may leave the range, or a draw may need too deep a stack; that is said.
+            // A generated expression may overflow, divide by zero or need too many stack slots; the error
+            // says which.
             Err(e) => {
-                let told = e.0.iter().all(|f| f.message.contains("overflows") || f.message.contains("at once") || f.message.contains("zero"));
-                prop_assert!(told, "{}", e.render("drawn", text.as_bytes(), Severity::Error));
+                let is_expected = e.0.iter().all(|d| d.message.contains("overflows") || d.message.contains("at once") || d.message.contains("zero"));
+                prop_assert!(is_expected, "{}", e.render("drawn", text.as_bytes(), Severity::Error));
                 return Ok(());
             }
         };
@@ -234,17 +239,17 @@
         let (mut class_steps, mut key_steps) = (0u64, 0u64);
         let class = rules.class_observed(&f, &mut class_steps).map(str::to_owned);
         let key = rules.key_observed(&f, &mut key_steps);
-        prop_assert_eq!((class, key), plain(&text, &f));
+        prop_assert_eq!((class, key), reference(&text, &f));
         prop_assert!(class_steps + key_steps <= rules.worst_steps(), "{class_steps} + {key_steps}");
     }
 
     #[test]
-    fn no_bytes_make_the_compiler_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = Rules::compile(&bytes);
     }
 
     #[test]
-    fn no_words_make_the_compiler_panic(words in proptest::collection::vec(prop_oneof![
+    fn arbitrary_token_sequences_do_not_panic(words in proptest::collection::vec(prop_oneof![
         Just("class"), Just("if"), Just("\"a\""), Just("("), Just(")"), Just("["), Just("]"), Just("and"), Just("not"),
         Just("lba"), Just("=="), Just("+"), Just("1"), Just("4KiB"), Just(";"), Just("let"), Just("x"), Just("="),
         Just("hash"), Just("glob"), Just(","), Just("in"), Just("then"), Just("else"), Just("key"), Just("otherwise"),
@@ -256,27 +261,30 @@
     }
 }
 
-fn refused(text: &str) -> String {
+/// The rendered errors of a file that must be rejected.
+fn rejected(text: &str) -> String {
     let text = format!("{text}\nclass \"rest\" otherwise;\n");
     Rules::compile(text.as_bytes()).expect_err(&text).render("f", text.as_bytes(), Severity::Error)
 }
 
 #[test]
-fn files_built_to_run_long_are_refused_or_bounded() {
+fn adversarial_files_are_rejected_or_bounded() {
     let deep = |open: &str, close: &str, n: usize| {
         format!("class \"a\" if {}true{};", open.repeat(n), close.repeat(n))
     };
     for n in [100, 100_000] {
-        assert!(refused(&deep("(", ")", n)).contains("nested deeper"));
-        assert!(refused(&deep("not ", "", n)).contains("nested deeper"));
-        assert!(refused(&deep("if true then ", " else true", n)).contains("nested deeper"));
+        assert!(rejected(&deep("(", ")", n)).contains("nested deeper"));
+        assert!(rejected(&deep("not ", "", n)).contains("nested deeper"));
+        assert!(rejected(&deep("if true then ", " else true", n)).contains("nested deeper"));
     }
-    // A mebibyte of `and` is long, not deep: its bound grows with it, and is told.
+    // About a mebibyte of `and` is long but not deep: it is accepted, and the step bound grows with its
+    // length.
     let long = format!("class \"a\" if {}true;\nclass \"rest\" otherwise;", "true and ".repeat(100_000));
     let rules = Rules::compile(long.as_bytes()).unwrap();
     assert!(rules.worst_steps() >= 200_000);
     assert_eq!(rules.class(&Fields::default()), Some("a"));
-    // Names that double at each step are values, not copies.
+    // Each `let` uses the previous one twice. Values are shared; inlined expressions would grow
+    // exponentially.
     let mut sharing = "let a0 = lba;\n".to_owned();
     for i in 1..32 {
         sharing += &format!("let a{i} = a{} + a{};\n", i - 1, i - 1);
@@ -285,9 +293,10 @@
     assert!(Rules::compile(sharing.as_bytes()).unwrap().worst_steps() < 1_000);
 }
 
-/// Danger: a field with a constant is one operation, and a jump may lead to where it would begin.
+/// The compiler merges a comparison of a field with a constant into one instruction. It must not do so when
+/// the field is the last branch of an `if`, whose other branch jumps to the comparison.
 #[test]
-fn a_choice_that_ends_in_a_field_is_compared_as_a_whole() {
+fn an_if_that_ends_in_a_field_is_compared_as_a_whole() {
     let text = b"class \"a\" if (if fua then 5 else lba) == 5;\nclass \"b\" otherwise;";
     let rules = Rules::compile(text).unwrap();
     let class = |fua, lba| rules.class(&Fields { fua, lba, ..Fields::default() }).map(str::to_owned);
@@ -296,7 +305,7 @@
 }
 
 #[test]
-fn ten_thousand_rows_are_not_tried_one_by_one() {
+fn ten_thousand_exact_values_use_the_decision_tree() {
     let mut text = String::new();
     for i in 0..10_000 {
         text += &format!("class \"c{i}\" if volume == \"v{i}\" and bytes <= 64KiB;\n");
@@ -304,62 +313,66 @@
     text += "class \"rest\" otherwise;";
     let rules = Rules::compile(text.as_bytes()).unwrap();
     assert!(rules.worst_steps() < 300, "{}", rules.worst_steps());
-    let ask = |volume, bytes| rules.class(&Fields { volume, bytes, ..Default::default() }).map(str::to_owned);
-    assert_eq!(ask("v7345", 4096).as_deref(), Some("c7345"));
-    assert_eq!(ask("v7345", 1 << 20).as_deref(), Some("rest"));
-    assert_eq!(ask("nobody", 1).as_deref(), Some("rest"));
+    let class_of =
+        |volume, bytes| rules.class(&Fields { volume, bytes, ..Default::default() }).map(str::to_owned);
+    assert_eq!(class_of("v7345", 4096).as_deref(), Some("c7345"));
+    assert_eq!(class_of("v7345", 1 << 20).as_deref(), Some("rest"));
+    assert_eq!(class_of("nobody", 1).as_deref(), Some("rest"));
 }
 
 #[test]
-fn ten_thousand_ranges_and_prefixes_are_not_tried_one_by_one() {
-    let list = |row: &dyn Fn(usize) -> String| {
+fn ten_thousand_ranges_and_prefixes_use_the_decision_tree() {
+    let compile_rows = |row: &dyn Fn(usize) -> String| {
         let rows: String = (0..10_000).map(|i| format!("class \"c{i}\" if {};\n", row(i))).collect();
         Rules::compile(format!("{rows}class \"rest\" otherwise;").as_bytes()).unwrap()
     };
-    let apart = list(&|i| format!("lba >= {} and lba < {}", i * 10, i * 10 + 8));
+    let apart = compile_rows(&|i| format!("lba >= {} and lba < {}", i * 10, i * 10 + 8));
     assert!(apart.worst_steps() < 300, "{}", apart.worst_steps());
-    let ask = |lba| apart.class(&Fields { lba, ..Default::default() }).map(str::to_owned);
-    assert_eq!((ask(77_777).as_deref(), ask(77_778).as_deref()), (Some("c7777"), Some("rest")));
-    let extents = list(&|i| format!("lba / 2048 == {i} and op == \"write\""));
+    let class_of = |lba| apart.class(&Fields { lba, ..Default::default() }).map(str::to_owned);
+    assert_eq!((class_of(77_777).as_deref(), class_of(77_778).as_deref()), (Some("c7777"), Some("rest")));
+    let extents = compile_rows(&|i| format!("lba / 2048 == {i} and op == \"write\""));
     assert!(extents.worst_steps() < 300, "{}", extents.worst_steps());
-    let begun = list(&|i| format!("starts_with(volume, \"v{i:04}-\")"));
-    assert!(begun.worst_steps() < 300, "{}", begun.worst_steps());
+    let prefixes = compile_rows(&|i| format!("starts_with(volume, \"v{i:04}-\")"));
+    assert!(prefixes.worst_steps() < 300, "{}", prefixes.worst_steps());
     let volume = "v4711-notes";
-    assert_eq!(begun.class(&Fields { volume, ..Default::default() }), Some("c4711"));
-    // Nested ranges lie above each other: many rows may have to be tried, and the bound says so.
-    let nested = list(&|i| format!("lba <= {} and bytes == {i}B", 20_000 - i));
+    assert_eq!(prefixes.class(&Fields { volume, ..Default::default() }), Some("c4711"));
+    // Nested ranges overlap in `lba`, but the rows are still told apart by `bytes`.
+    let nested = compile_rows(&|i| format!("lba <= {} and bytes == {i}B", 20_000 - i));
     assert!(nested.worst_steps() < 300, "{}", nested.worst_steps());
-    let hopeless = list(&|i| format!("contains(volume, \"v{i}\")"));
-    assert!(hopeless.worst_steps() > 10_000);
+    let unindexable = compile_rows(&|i| format!("contains(volume, \"v{i}\")"));
+    assert!(unindexable.worst_steps() > 10_000);
 }
 
 #[test]
-fn more_steps_than_a_request_may_take_are_refused_with_the_costliest_row() {
+fn exceeding_the_step_limit_reports_the_most_expensive_row() {
     let text = "class \"a\" if fua;\nclass \"b\" if contains(volume, \"x\") and contains(target, \"y\");\nclass \"c\" otherwise;";
     let steps = Rules::compile(text.as_bytes()).unwrap().worst_steps();
     assert!(Rules::compile_with_limit(text.as_bytes(), steps).is_ok());
-    let refused = Rules::compile_with_limit(text.as_bytes(), steps - 1).unwrap_err();
-    let told = refused.render("f", text.as_bytes(), Severity::Error);
-    assert!(told.contains(&format!("may take {steps} steps")) && told.contains("2 | class \"b\""), "{told}");
+    let rejected = Rules::compile_with_limit(text.as_bytes(), steps - 1).unwrap_err();
+    let message = rejected.render("f", text.as_bytes(), Severity::Error);
+    assert!(
+        message.contains(&format!("may take {steps} steps")) && message.contains("2 | class \"b\""),
+        "{message}"
+    );
 }
 
 #[test]
-fn a_key_is_told_where_one_block_may_have_two() {
+fn key_conflicts_are_reported_where_one_block_may_have_two_keys() {
     let conflicts = |key: &str| {
         let text = format!("let run = 2048;\nlet part = lba / run;\nclass \"a\" otherwise;\nkey = {key};");
         let rules = Rules::compile(text.as_bytes()).unwrap_or_else(|e| panic!("{e:?}"));
         rules.key_dependencies().expect("a key").conflicts(1024)
     };
-    for sound in [
+    for valid_key in [
         "hash(volume, lba / 2048)",
         "hash(volume, part % 7)",
         "hash(lun, plan, lba / run)",
         "5",
         "lba / 1024 * 3",
     ] {
-        assert_eq!(conflicts(sound), Vec::<String>::new(), "{sound}");
+        assert_eq!(conflicts(valid_key), Vec::<String>::new(), "{valid_key}");
     }
-    for (key, want) in [
+    for (key, expected) in [
         ("hash(volume, blocks)", "differ in blocks"),
         ("hash(initiator, lba / 2048)", "differ in initiator"),
         ("if fua then 1 else 2", "differ in fua"),
@@ -369,42 +382,42 @@
         ("lba / 1000", "not a multiple of the extent's 1024"),
         ("lba / blocks", "other than in `lba / N`"),
     ] {
-        let told = conflicts(key).join("; ");
-        assert!(told.contains(want), "{key}: {told}");
+        let message = conflicts(key).join("; ");
+        assert!(message.contains(expected), "{key}: {message}");
     }
 }
 
 #[test]
-fn explaining_shows_each_test_up_to_where_the_answer_was_settled() {
+fn explain_shows_the_tests_up_to_the_short_circuit() {
     let text = "let small = 64KiB;\nclass \"a\" if op == \"write\" and bytes <= small and fua;\nclass \"b\" otherwise;";
     let rules = Rules::compile(text.as_bytes()).unwrap();
-    let told = rules.explain(&Fields { op: "write", bytes: 70_000, ..Fields::default() });
-    assert_eq!(told.lets, [("small".to_owned(), "65536".to_owned())]);
-    let tests: Vec<(&str, bool, String)> = told.rows[0]
+    let explanation = rules.explain(&Fields { op: "write", bytes: 70_000, ..Fields::default() });
+    assert_eq!(explanation.lets, [("small".to_owned(), "65536".to_owned())]);
+    let tests: Vec<(&str, bool, String)> = explanation.rows[0]
         .tests
         .iter()
         .map(|t| (&text[t.span.start..t.span.end], t.outcome, t.operands.join(" ")))
         .collect();
-    let want = [
+    let expected = [
         ("op == \"write\"", true, "\"write\" \"write\"".to_owned()),
         ("bytes <= small", false, "70000 65536".to_owned()),
     ];
-    assert_eq!(tests, want);
-    assert!(told.rows[1].matched && told.rows[1].tests.is_empty());
+    assert_eq!(tests, expected);
+    assert!(explanation.rows[1].matched && explanation.rows[1].tests.is_empty());
 }
 
 #[test]
-fn rows_that_never_match_are_pointed_out() {
+fn rows_that_never_match_are_warned_about() {
     let text =
         b"class \"a\" if lba == 1;\nclass \"b\" if lba ==  1;\nclass \"c\" otherwise;\nclass \"d\" if fua;\n";
     let rules = Rules::compile(text).unwrap();
-    let told: Vec<&str> = rules.warnings().0.iter().map(|w| w.message.as_str()).collect();
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told[0].contains("the same condition") && told[1].contains("matches all requests"));
+    let warnings: Vec<&str> = rules.warnings().0.iter().map(|w| w.message.as_str()).collect();
+    assert_eq!(warnings.len(), 2, "{warnings:?}");
+    assert!(warnings[0].contains("the same condition") && warnings[1].contains("matches all requests"));
 }
 
 #[test]
-fn the_example_files_compile_without_a_warning() {
+fn example_files_compile_without_warnings() {
     for (text, op, bytes, class) in [
         (include_str!("../../../examples/rules/home-care.rules"), "write", 4096, "visit-note"),
         (include_str!("../../../examples/rules/home-care.rules"), "read", 1 << 20, "region-export"),
--- a/crates/match/tests/allocations.rs
+++ b/crates/match/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! Evaluation allocates nothing: counted by an allocator that counts.
+//! Evaluation allocates nothing, as measured by a counting allocator.
 
 use pearfork_match::{Fields, Rules};
 
@@ -20,13 +20,16 @@
         [("v17", "iqn.3.x", 20, true), ("v199", "", 1 << 40, false), ("none", "iqn.199.y", 0, true)]
     {
         let fields = Fields { op: "read", volume, initiator, lba, fua, ..Fields::default() };
-        let told = allocation_counter::measure(|| {
+        let allocations = allocation_counter::measure(|| {
             found += usize::from(rules.class_index(&fields).is_some());
             found += usize::from(rules.plan(&fields).is_some());
             found += usize::from(rules.key(&fields).is_some());
         });
-        assert_eq!(told.count_total, 0, "{volume}");
+        assert_eq!(allocations.count_total, 0, "{volume}");
     }
     assert!(found >= 6);
-    assert!(allocation_counter::measure(|| drop(vec![found])).count_total > 0, "it counts");
+    assert!(
+        allocation_counter::measure(|| drop(vec![found])).count_total > 0,
+        "the counter must detect allocations"
+    );
 }
--- a/crates/match/tests/messages.rs
+++ b/crates/match/tests/messages.rs
@@ -1,4 +1,5 @@
-//! What operators are told, to the letter: each file of `refused` and `warned` against its snapshot.
+//! Snapshot tests of diagnostics: the rendered errors and warnings of each file in `refused` and `warned`,
+//! and the absence of warnings for each file in `quiet`.
 
 use pearfork_match::{Rules, Severity};
 use std::path::{Path, PathBuf};
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn refused_files_say_what_is_wrong_where_and_what_would_be_right() {
+fn rejected_files_are_reported_with_span_and_help() {
     for (name, text) in files("refused") {
         let diagnostics = Rules::compile(&text).expect_err(&name);
         insta::assert_snapshot!(
@@ -26,18 +27,21 @@
 }
 
 #[test]
-fn rows_that_never_match_are_told_with_the_rows_before_them() {
+fn rows_that_never_match_are_reported_with_the_covering_rows() {
     for (name, text) in files("warned") {
         let rules =
             Rules::compile(&text).unwrap_or_else(|e| panic!("{}", e.render(&name, &text, Severity::Error)));
-        let told = rules.warnings();
-        assert!(!told.0.is_empty(), "{name}");
-        insta::assert_snapshot!(format!("warned-{name}"), told.render("a.rules", &text, Severity::Warning));
+        let warnings = rules.warnings();
+        assert!(!warnings.0.is_empty(), "{name}");
+        insta::assert_snapshot!(
+            format!("warned-{name}"),
+            warnings.render("a.rules", &text, Severity::Warning)
+        );
     }
 }
 
 #[test]
-fn rows_that_may_match_are_not_warned_of() {
+fn rows_that_may_match_cause_no_warnings() {
     for (name, text) in files("quiet") {
         let rules =
             Rules::compile(&text).unwrap_or_else(|e| panic!("{}", e.render(&name, &text, Severity::Error)));
