--- a/crates/layers/src/lib.rs
+++ b/crates/layers/src/lib.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Maximum number of files, the including one and those at all include depths.
+/// Maximum number of files that are loaded: the main file and its includes at all depths.
 pub const MAX_FILES: usize = 64;
 /// Maximum nesting depth of includes.
 pub const MAX_DEPTH: usize = 8;
@@ -51,7 +51,7 @@
         match self {
             Origin::File { name, line } => write!(f, "{name} line {line}"),
             Origin::Variable(name) => write!(f, "variable {name}"),
-            Origin::Flag(given) => write!(f, "--set {given}"),
+            Origin::Flag(flag) => write!(f, "--set {flag}"),
             Origin::Default => f.write_str("default"),
         }
     }
--- a/crates/match/src/coverage.rs
+++ b/crates/match/src/coverage.rs
@@ -115,19 +115,19 @@
     let mut out = Vec::new();
     let all = all_requests();
     let mut earlier = RowIndex::new(regions);
-    let mut same: BTreeMap<String, usize> = BTreeMap::new();
+    let mut conditions: BTreeMap<String, usize> = BTreeMap::new();
     let (mut work, mut catch_all) = (0, None::<usize>);
     for (i, (row, region)) in rows.iter().zip(regions).enumerate() {
         let mut warn = |reason: &str, earlier_rows: &[usize], label: &str| {
             let warning = Diagnostic::new(row.span, format!("this row never matches: {reason}"));
             let spans = earlier_rows.iter().take(MAX_LABELS).map(|r| rows[*r].span);
-            out.push(spans.fold(warning, |f, p: Span| f.label(p, label)));
+            out.push(spans.fold(warning, |w, span: Span| w.label(span, label)));
         };
-        if let Some(before) = catch_all {
-            warn("an earlier row matches all requests", &[before], "matches all remaining requests");
+        if let Some(row) = catch_all {
+            warn("an earlier row matches all requests", &[row], "matches all remaining requests");
             continue;
         }
-        let duplicate = row.condition.as_ref().and_then(|w| same.insert(w.shape(), i));
+        let duplicate = row.condition.as_ref().and_then(|w| conditions.insert(w.shape(), i));
         if let Some(duplicate) = duplicate {
             warn("an earlier row has the same condition", &[duplicate], "the same condition");
             continue;
@@ -159,8 +159,8 @@
             warn("earlier rows match all its requests", &covering, "matches some or all of them");
             continue;
         }
-        let takes_all = region.exact && region.cells.iter().any(|c| c.0.is_empty());
-        catch_all = takes_all.then_some(i);
+        let matches_all = region.exact && region.cells.iter().any(|c| c.0.is_empty());
+        catch_all = matches_all.then_some(i);
         earlier.add(i, region);
     }
     out
--- a/crates/match/src/domain.rs
+++ b/crates/match/src/domain.rs
@@ -41,8 +41,9 @@
 pub(crate) type Approximation = (Domain, bool);
 
 impl Domain {
-    pub(crate) fn range(from: i64, to: i64) -> Domain {
-        Domain::Ints(if from <= to { vec![(from, to)] } else { Vec::new() })
+    /// The numbers from `first` to `last`, both inclusive; empty if `first` is greater.
+    pub(crate) fn range(first: i64, last: i64) -> Domain {
+        Domain::Ints(if first <= last { vec![(first, last)] } else { Vec::new() })
     }
 
     /// Creates a domain from ranges in any order, which may overlap.
@@ -59,6 +60,7 @@
         Domain::Ints(out)
     }
 
+    /// Creates a domain from patterns in any order.
     pub(crate) fn texts(mut patterns: Vec<Pattern>) -> Domain {
         patterns.sort();
         patterns.dedup();
@@ -86,23 +88,23 @@
     pub(crate) fn may_intersect(&self, other: &Domain) -> bool {
         match (self, other) {
             (Domain::Ints(a), Domain::Ints(b)) => {
-                let (few, many) = if a.len() <= b.len() { (a, b) } else { (b, a) };
-                let is_met = |(from, to): &(i64, i64)| {
-                    many.get(many.partition_point(|r| r.1 < *from)).is_some_and(|r| r.0 <= *to)
+                let (smaller, larger) = if a.len() <= b.len() { (a, b) } else { (b, a) };
+                let intersects = |(first, last): &(i64, i64)| {
+                    larger.get(larger.partition_point(|r| r.1 < *first)).is_some_and(|r| r.0 <= *last)
                 };
-                few.iter().any(is_met)
+                smaller.iter().any(intersects)
             }
             (Domain::Texts(a), Domain::Texts(b)) => {
-                let (few, many) = if a.len() <= b.len() { (a, b) } else { (b, a) };
-                let prefixes = many.partition_point(|p| matches!(p, Pattern::Exact(_)));
-                let is_met = |p: &Pattern| match p {
+                let (smaller, larger) = if a.len() <= b.len() { (a, b) } else { (b, a) };
+                let prefixes = larger.partition_point(|p| matches!(p, Pattern::Exact(_)));
+                let intersects = |p: &Pattern| match p {
                     Pattern::Exact(_) => {
-                        many[..prefixes].binary_search(p).is_ok()
-                            || many[prefixes..].iter().any(|q| q.covers(p))
+                        larger[..prefixes].binary_search(p).is_ok()
+                            || larger[prefixes..].iter().any(|q| q.covers(p))
                     }
-                    Pattern::Prefix(_) => many.iter().any(|q| q.covers(p) || p.covers(q)),
+                    Pattern::Prefix(_) => larger.iter().any(|q| q.covers(p) || p.covers(q)),
                 };
-                few.iter().any(is_met)
+                smaller.iter().any(intersects)
             }
             (Domain::Texts(a), Domain::AllExcept(excluded))
             | (Domain::AllExcept(excluded), Domain::Texts(a)) => {
@@ -117,14 +119,14 @@
         match self {
             Domain::Ints(ranges) => {
                 let mut out = Vec::with_capacity(ranges.len() + 1);
-                let mut from = Some(i64::MIN);
-                for (a, b) in ranges {
-                    if let Some(from) = from.filter(|from| from < a) {
-                        out.push((from, a - 1));
+                let mut gap_start = Some(i64::MIN);
+                for (first, last) in ranges {
+                    if let Some(gap_start) = gap_start.filter(|start| start < first) {
+                        out.push((gap_start, first - 1));
                     }
-                    from = b.checked_add(1);
+                    gap_start = last.checked_add(1);
                 }
-                out.extend(from.map(|from| (from, i64::MAX)));
+                out.extend(gap_start.map(|start| (start, i64::MAX)));
                 Some(Domain::Ints(out))
             }
             Domain::Texts(patterns) => {
@@ -142,33 +144,33 @@
 
     /// The union of domains of the same kind.
     pub(crate) fn union(all: Vec<Domain>) -> Domain {
-        let (mut ranges, mut patterns, mut but) = (Vec::new(), Vec::new(), None::<BTreeSet<String>>);
+        let (mut ranges, mut patterns, mut excluded) = (Vec::new(), Vec::new(), None::<BTreeSet<String>>);
         let ints = matches!(all.first(), Some(Domain::Ints(_)));
         for domain in all {
             match domain {
                 Domain::Ints(r) => ranges.extend(r),
                 Domain::Texts(p) => patterns.extend(p),
                 Domain::AllExcept(texts) => {
-                    but = Some(match but {
-                        Some(mut but) => {
-                            but.retain(|t| texts.contains(t));
-                            but
+                    excluded = Some(match excluded {
+                        Some(mut excluded) => {
+                            excluded.retain(|t| texts.contains(t));
+                            excluded
                         }
                         None => texts,
                     });
                 }
             }
         }
-        let Some(mut but) = but else {
+        let Some(mut excluded) = excluded else {
             return if ints { Domain::ranges(ranges) } else { Domain::texts(patterns) };
         };
         for p in &patterns {
             match p {
-                Pattern::Exact(t) => drop(but.remove(t)),
-                Pattern::Prefix(p) => but.retain(|t| !t.starts_with(p.as_str())),
+                Pattern::Exact(t) => drop(excluded.remove(t)),
+                Pattern::Prefix(p) => excluded.retain(|t| !t.starts_with(p.as_str())),
             }
         }
-        Domain::AllExcept(but)
+        Domain::AllExcept(excluded)
     }
 
     /// The intersection, possibly over-approximated.
@@ -234,12 +236,12 @@
             (Domain::Texts(a), Domain::Texts(b)) => {
                 let prefixes = b.partition_point(|p| matches!(p, Pattern::Exact(_)));
                 let has_prefix = |p: &Pattern| b[prefixes..].iter().take(MAX_PIECES).any(|q| q.covers(p));
-                let left = |p: &&Pattern| b[..prefixes].binary_search(p).is_err() && !has_prefix(p);
-                Domain::Texts(a.iter().filter(left).cloned().collect())
+                let remaining = |p: &&Pattern| b[..prefixes].binary_search(p).is_err() && !has_prefix(p);
+                Domain::Texts(a.iter().filter(remaining).cloned().collect())
             }
             (Domain::Texts(a), Domain::AllExcept(excluded)) => {
-                let left = excluded.iter().map(|t| Pattern::Exact(t.clone()));
-                Domain::texts(left.filter(|t| a.iter().any(|p| p.covers(t))).collect())
+                let remaining = excluded.iter().map(|t| Pattern::Exact(t.clone()));
+                Domain::texts(remaining.filter(|t| a.iter().any(|p| p.covers(t))).collect())
             }
             (Domain::AllExcept(a), Domain::AllExcept(b)) => {
                 Domain::texts(b.difference(a).cloned().map(Pattern::Exact).collect())
--- a/crates/match/src/format.rs
+++ b/crates/match/src/format.rs
@@ -18,7 +18,7 @@
     let tokens = lex(text, &mut diagnostics);
     Parser::new(&tokens, &mut diagnostics).parse_file();
     if !diagnostics.is_empty() {
-        diagnostics.sort_by_key(|f| (f.span.start, f.span.end));
+        diagnostics.sort_by_key(|d| (d.span.start, d.span.end));
         return Err(Diagnostics(diagnostics));
     }
     let mut out = Writer::default();
--- a/crates/match/src/lexer.rs
+++ b/crates/match/src/lexer.rs
@@ -61,8 +61,8 @@
             let n = length_while(|c| c.is_ascii_alphanumeric() || c == '_');
             match number(&rest[..n]) {
                 Ok(t) => out.push((t, token_span(n))),
-                Err(f) => {
-                    diagnostics.push(Diagnostic { span: token_span(n), ..f });
+                Err(error) => {
+                    diagnostics.push(Diagnostic { span: token_span(n), ..error });
                     out.push((Token::Invalid, token_span(n)));
                 }
             }
@@ -93,9 +93,9 @@
 }
 
 /// Parses a number with an optional unit. The caller sets the spans of errors.
-fn number(word: &str) -> Result<Token, Diagnostic> {
-    let digits = word.find(|c: char| !c.is_ascii_digit() && c != '_').unwrap_or(word.len());
-    let (value, unit) = (word[..digits].replace('_', ""), &word[digits..]);
+fn number(literal: &str) -> Result<Token, Diagnostic> {
+    let digits = literal.find(|c: char| !c.is_ascii_digit() && c != '_').unwrap_or(literal.len());
+    let (value, unit) = (literal[..digits].replace('_', ""), &literal[digits..]);
     let span = Span::default();
     let Ok(value) = value.parse::<i64>() else {
         return Err(Diagnostic::new(span, "number does not fit into 64 bits"));
--- a/crates/match/src/program.rs
+++ b/crates/match/src/program.rs
@@ -149,15 +149,15 @@
 
     /// Matches greedily from the left: for the parts between stars the first occurrence is always sufficient.
     pub(crate) fn matches(&self, text: &str) -> bool {
-        let [first, middle @ .., last] = &self.parts[..] else { return self.parts[0] == text };
-        let Some(mut rest) = text.strip_prefix(first.as_str()) else { return false };
+        let [prefix, middle @ .., suffix] = &self.parts[..] else { return self.parts[0] == text };
+        let Some(mut rest) = text.strip_prefix(prefix.as_str()) else { return false };
         for part in middle {
             match rest.find(part.as_str()) {
                 Some(at) => rest = &rest[at + part.len()..],
                 None => return false,
             }
         }
-        rest.ends_with(last.as_str())
+        rest.ends_with(suffix.as_str())
     }
 }
 
@@ -289,16 +289,18 @@
 
     /// Worst-case number of steps of one instruction.
     pub(crate) fn cost(&self, op: &Op) -> u64 {
-        let text = Self::TEXT_STEPS;
+        let text_steps = Self::TEXT_STEPS;
         match op {
-            Op::StartsWith(_) | Op::EndsWith(_) | Op::CompareText(_) | Op::CompareFieldText(..) => 1 + text,
-            Op::Contains(_) => 1 + 2 * text,
-            Op::Glob(g) => 1 + text * (1 + self.globs[*g as usize].parts.len() as u64),
+            Op::StartsWith(_) | Op::EndsWith(_) | Op::CompareText(_) | Op::CompareFieldText(..) => {
+                1 + text_steps
+            }
+            Op::Contains(_) => 1 + 2 * text_steps,
+            Op::Glob(g) => 1 + text_steps * (1 + self.globs[*g as usize].parts.len() as u64),
             Op::InSet(s) => match &self.sets[*s as usize] {
                 Set::Ints(v) => 1 + u64::from(v.len().max(1).ilog2()) + 1,
-                Set::Texts(v) => 1 + (u64::from(v.len().max(1).ilog2()) + 1) * text,
+                Set::Texts(v) => 1 + (u64::from(v.len().max(1).ilog2()) + 1) * text_steps,
             },
-            Op::Hash(n) => 1 + u64::from(*n) * text,
+            Op::Hash(n) => 1 + u64::from(*n) * text_steps,
             _ => 1,
         }
     }
@@ -365,69 +367,69 @@
         observer: &mut impl Observer,
     ) -> Value<'a> {
         let mut stack = [Value::Int(0); MAX_STACK];
-        let (mut top, mut pc) = (0usize, entry as usize);
-        let push = |top: &mut usize, stack: &mut [Value<'a>; MAX_STACK], v: Value<'a>| {
-            if let Some(slot) = stack.get_mut(*top) {
+        let (mut stack_len, mut pc) = (0usize, entry as usize);
+        let push = |stack_len: &mut usize, stack: &mut [Value<'a>; MAX_STACK], v: Value<'a>| {
+            if let Some(slot) = stack.get_mut(*stack_len) {
                 *slot = v;
-                *top += 1;
+                *stack_len += 1;
             }
         };
         while let Some(op) = self.ops.get(pc) {
             pc += 1;
             observer.steps(|| self.cost(op));
-            let last = stack[top.saturating_sub(1)];
+            let top_value = stack[stack_len.saturating_sub(1)];
             match op {
-                Op::Const(c) => push(&mut top, &mut stack, self.constants[*c as usize].value()),
+                Op::Const(c) => push(&mut stack_len, &mut stack, self.constants[*c as usize].value()),
                 Op::Field(_) | Op::Let(_) => {
                     let value = match op {
                         Op::Field(f) => fields.value(*f),
-                        Op::Let(slot) => lets.get(usize::from(*slot)).copied().unwrap_or(last),
-                        _ => last,
+                        Op::Let(slot) => lets.get(usize::from(*slot)).copied().unwrap_or(top_value),
+                        _ => top_value,
                     };
                     if let Value::Bool(outcome) = value {
                         observer.test(self.spans[pc - 1], &[], outcome);
                     }
-                    push(&mut top, &mut stack, value);
+                    push(&mut stack_len, &mut stack, value);
                 }
                 Op::CompareField(c, field, constant) | Op::CompareFieldText(c, field, constant) => {
                     let operands = [fields.value(*field), self.constants[*constant as usize].value()];
                     let outcome = compare(*c, operands[0], operands[1]);
                     observer.test(self.spans[pc - 1], &operands, outcome);
-                    push(&mut top, &mut stack, Value::Bool(outcome));
+                    push(&mut stack_len, &mut stack, Value::Bool(outcome));
                 }
                 Op::Jump(to) => pc = *to as usize,
                 Op::JumpIfFalseOrPop(to) | Op::JumpIfTrueOrPop(to) => {
-                    if last == Value::Bool(matches!(op, Op::JumpIfTrueOrPop(_))) {
+                    if top_value == Value::Bool(matches!(op, Op::JumpIfTrueOrPop(_))) {
                         pc = *to as usize;
                     } else {
-                        top = top.saturating_sub(1);
+                        stack_len = stack_len.saturating_sub(1);
                     }
                 }
                 Op::PopJumpIfFalse(to) => {
-                    top = top.saturating_sub(1);
-                    if last != Value::Bool(true) {
+                    stack_len = stack_len.saturating_sub(1);
+                    if top_value != Value::Bool(true) {
                         pc = *to as usize;
                     }
                 }
-                Op::End => return last,
+                Op::End => return top_value,
                 Op::Compare(_) | Op::CompareText(_) | Op::Arith(_) => {
-                    top = top.saturating_sub(1);
-                    let left = &mut stack[top.saturating_sub(1)];
+                    stack_len = stack_len.saturating_sub(1);
+                    let left = &mut stack[stack_len.saturating_sub(1)];
                     *left = match op {
                         Op::Compare(c) | Op::CompareText(c) => {
-                            let outcome = compare(*c, *left, last);
-                            observer.test(self.spans[pc - 1], &[*left, last], outcome);
+                            let outcome = compare(*c, *left, top_value);
+                            observer.test(self.spans[pc - 1], &[*left, top_value], outcome);
                             Value::Bool(outcome)
                         }
-                        Op::Arith(a) => Value::Int(arith(*a, *left, last)),
+                        Op::Arith(a) => Value::Int(arith(*a, *left, top_value)),
                         _ => *left,
                     };
                 }
                 Op::Hash(n) => {
-                    let n = usize::from(*n).min(top);
-                    let h = hash(&stack[top - n..top]);
-                    top -= n;
-                    push(&mut top, &mut stack, Value::Int(h));
+                    let n = usize::from(*n).min(stack_len);
+                    let h = hash(&stack[stack_len - n..stack_len]);
+                    stack_len -= n;
+                    push(&mut stack_len, &mut stack, Value::Int(h));
                 }
                 Op::Not
                 | Op::InSet(_)
@@ -435,11 +437,11 @@
                 | Op::EndsWith(_)
                 | Op::Contains(_)
                 | Op::Glob(_) => {
-                    let outcome = self.test(op, last);
+                    let outcome = self.test(op, top_value);
                     if !matches!(op, Op::Not) {
-                        observer.test(self.spans[pc - 1], &[last], outcome);
+                        observer.test(self.spans[pc - 1], &[top_value], outcome);
                     }
-                    stack[top.saturating_sub(1)] = Value::Bool(outcome);
+                    stack[stack_len.saturating_sub(1)] = Value::Bool(outcome);
                 }
             }
         }
--- a/crates/match/src/region.rs
+++ b/crates/match/src/region.rs
@@ -35,7 +35,7 @@
 
     /// Whether the cells may have a common request.
     pub(crate) fn may_intersect(&self, other: &Cell) -> bool {
-        other.0.iter().all(|(f, d)| self.get(*f).is_none_or(|mine| mine.may_intersect(d)))
+        other.0.iter().all(|(f, d)| self.get(*f).is_none_or(|current| current.may_intersect(d)))
     }
 
     /// Number of pieces of its domains, plus one.
@@ -48,8 +48,8 @@
         let (mut out, mut exact) = (self.clone(), true);
         for (field, domain) in &other.0 {
             let both = match out.get(*field) {
-                Some(mine) => {
-                    let (both, is_exact) = mine.intersection(domain);
+                Some(current) => {
+                    let (both, is_exact) = current.intersection(domain);
                     exact &= is_exact;
                     both
                 }
@@ -67,23 +67,23 @@
     pub(crate) fn difference(&self, other: &Cell) -> Vec<Cell> {
         let (mut out, mut rest) = (Vec::new(), self.clone());
         for (field, domain) in &other.0 {
-            let mine = rest.get(*field).cloned();
-            let outside = match &mine {
-                Some(mine) => Some(mine.difference(domain)),
+            let current = rest.get(*field).cloned();
+            let outside = match &current {
+                Some(current) => Some(current.difference(domain)),
                 None => domain.complement(),
             };
             // A difference that cannot be represented is over-approximated by the whole domain.
-            let outside = outside.or_else(|| mine.clone());
+            let outside = outside.or_else(|| current.clone());
             match outside {
                 None => return vec![self.clone()],
                 Some(outside) if outside.is_empty() => {}
                 Some(outside) => {
-                    let mut piece = rest.clone();
-                    piece.set(*field, outside);
-                    out.push(piece);
+                    let mut cell = rest.clone();
+                    cell.set(*field, outside);
+                    out.push(cell);
                 }
             }
-            let inside = mine.map_or_else(|| domain.clone(), |m| m.intersection(domain).0);
+            let inside = current.map_or_else(|| domain.clone(), |m| m.intersection(domain).0);
             rest.set(*field, inside);
         }
         out
@@ -181,50 +181,50 @@
         self.regions.insert(name.to_owned(), regions);
     }
 
-    /// The region in which the value of a condition is `wanted`.
-    pub(crate) fn region(&self, e: &Expr, wanted: bool) -> Region {
+    /// The region in which the value of a condition is `expected`.
+    pub(crate) fn region(&self, e: &Expr, expected: bool) -> Region {
         let all = |terms: &[Expr]| {
             terms.iter().fold(Region::all(true), |r, t| {
                 if r.cells.is_empty() {
                     r
                 } else {
-                    r.intersection(&self.region(t, wanted))
+                    r.intersection(&self.region(t, expected))
                 }
             })
         };
-        let any = |terms: &[Expr]| Region::union(terms.iter().map(|t| self.region(t, wanted)));
+        let any = |terms: &[Expr]| Region::union(terms.iter().map(|t| self.region(t, expected)));
         match &e.kind {
-            ExprKind::Bool(b) if *b == wanted => Region::all(true),
+            ExprKind::Bool(b) if *b == expected => Region::all(true),
             ExprKind::Bool(_) => Region::none(),
-            ExprKind::Not(inner) => self.region(inner, !wanted),
-            ExprKind::And(terms) if wanted => all(terms),
+            ExprKind::Not(inner) => self.region(inner, !expected),
+            ExprKind::And(terms) if expected => all(terms),
             ExprKind::And(terms) => any(terms),
-            ExprKind::Or(terms) if wanted => any(terms),
+            ExprKind::Or(terms) if expected => any(terms),
             ExprKind::Or(terms) => all(terms),
             ExprKind::If(condition, then_value, else_value) => {
                 let branch = |truth: bool, e: &Expr| {
-                    self.region(condition, truth).intersection(&self.region(e, wanted))
+                    self.region(condition, truth).intersection(&self.region(e, expected))
                 };
                 Region::union([branch(true, then_value), branch(false, else_value)].into_iter())
             }
             ExprKind::Name(name) => match (field(name), self.regions.get(name)) {
-                (Some(f), _) => Region::of(f, Domain::range(i64::from(wanted), i64::from(wanted)), true),
-                (None, Some(known)) => known[usize::from(wanted)].clone(),
+                (Some(f), _) => Region::of(f, Domain::range(i64::from(expected), i64::from(expected)), true),
+                (None, Some(regions)) => regions[usize::from(expected)].clone(),
                 (None, None) => Region::all(false),
             },
             ExprKind::Compare(c, a, b) => {
                 let comparison =
                     self.comparison_domain(*c, a, b).or_else(|| self.comparison_domain(c.flipped(), b, a));
                 comparison
-                    .map_or_else(|| Region::all(false), |(f, d, exact)| region_where(f, &d, exact, wanted))
+                    .map_or_else(|| Region::all(false), |(f, d, exact)| region_where(f, &d, exact, expected))
             }
             ExprKind::In(value, items) => self
                 .membership_domain(value, items)
-                .map_or_else(|| Region::all(false), |(f, d)| region_where(f, &d, true, wanted)),
+                .map_or_else(|| Region::all(false), |(f, d)| region_where(f, &d, true, expected)),
             ExprKind::Call(function, arguments) => {
                 match (prefix_pattern(function, arguments), &arguments[..]) {
                     (Some((pattern, exact)), [value, _]) => match field_of(value) {
-                        Some(f) => region_where(f, &Domain::texts(vec![pattern]), exact, wanted),
+                        Some(f) => region_where(f, &Domain::texts(vec![pattern]), exact, expected),
                         None => Region::all(false),
                     },
                     _ => Region::all(false),
@@ -314,9 +314,9 @@
     Some(if n < 0 { (first, n.max(first)) } else { (first, last) })
 }
 
-/// The region in which `field` lies in `domain`, or outside of it if not `wanted`.
-fn region_where(field: Field, domain: &Domain, exact: bool, wanted: bool) -> Region {
-    if wanted {
+/// The region in which `field` lies in `domain`, or outside of it if `expected` is false.
+fn region_where(field: Field, domain: &Domain, exact: bool, expected: bool) -> Region {
+    if expected {
         return Region::of(field, domain.clone(), exact);
     }
     match domain.complement().filter(|_| exact) {
--- a/crates/match/src/rules.rs
+++ b/crates/match/src/rules.rs
@@ -157,7 +157,7 @@
         }
         diagnostics.append(&mut compiler.diagnostics);
         if !diagnostics.is_empty() {
-            diagnostics.sort_by_key(|f| (f.span.start, f.span.end));
+            diagnostics.sort_by_key(|d| (d.span.start, d.span.end));
             diagnostics.dedup();
             return Err(Diagnostics(diagnostics));
         }
--- a/crates/match/src/search_trees.rs
+++ b/crates/match/src/search_trees.rs
@@ -24,31 +24,31 @@
         mut make_value: impl FnMut(Vec<E>) -> T,
     ) -> IntervalTree<T> {
         let mut starts = vec![i64::MIN];
-        for (from, to, _) in ranges {
-            starts.push(*from);
-            starts.extend(to.checked_add(1));
+        for (first, last, _) in ranges {
+            starts.push(*first);
+            starts.extend(last.checked_add(1));
         }
         starts.sort_unstable();
         starts.dedup();
         let leaf_count = starts.len().next_power_of_two();
-        let mut at: Vec<Vec<E>> = (0..2 * leaf_count).map(|_| Vec::new()).collect();
+        let mut items: Vec<Vec<E>> = (0..2 * leaf_count).map(|_| Vec::new()).collect();
         let leaf = |n: i64| leaf_count + starts.partition_point(|s| *s <= n) - 1;
-        for (from, to, e) in ranges.iter().filter(|(from, to, _)| from <= to) {
-            let (mut l, mut r) = (leaf(*from), leaf(*to) + 1);
+        for (first, last, item) in ranges.iter().filter(|(first, last, _)| first <= last) {
+            let (mut l, mut r) = (leaf(*first), leaf(*last) + 1);
             while l < r {
                 if l % 2 == 1 {
-                    at[l].push(*e);
+                    items[l].push(*item);
                     l += 1;
                 }
                 if r % 2 == 1 {
                     r -= 1;
-                    at[r].push(*e);
+                    items[r].push(*item);
                 }
                 (l, r) = (l / 2, r / 2);
             }
         }
         let nodes: Vec<Option<T>> =
-            at.into_iter().map(|es| (!es.is_empty()).then(|| make_value(es))).collect();
+            items.into_iter().map(|node| (!node.is_empty()).then(|| make_value(node))).collect();
         let mut nearest_valued = vec![0u32; nodes.len()];
         for i in 1..nodes.len() {
             nearest_valued[i] = if nodes[i].is_some() { i as u32 } else { nearest_valued[i / 2] };
@@ -59,8 +59,8 @@
     /// The values of all nodes whose range contains the number.
     pub(crate) fn containing(&self, n: i64) -> impl Iterator<Item = &T> {
         let leaf = self.leaf_count + self.starts.partition_point(|s| *s <= n) - 1;
-        let from = |i: usize| (self.nearest_valued[i] > 0).then_some(self.nearest_valued[i] as usize);
-        let path = std::iter::successors(from(leaf), move |i| from(i / 2));
+        let valued_node = |i: usize| (self.nearest_valued[i] > 0).then_some(self.nearest_valued[i] as usize);
+        let path = std::iter::successors(valued_node(leaf), move |i| valued_node(i / 2));
         path.filter_map(|i| self.nodes[i].as_ref())
     }
 
--- a/crates/match/src/tests.rs
+++ b/crates/match/src/tests.rs
@@ -12,28 +12,30 @@
 use proptest::test_runner::RngSeed;
 
 /// Evaluates an expression by walking the tree; `let` definitions are evaluated at each use.
-fn walk<'a>(e: &'a Expr, f: &Fields<'a>, lets: &'a [(String, crate::Span, Expr)]) -> Value<'a> {
-    let truth = |e: &'a Expr| walk(e, f, lets) == Value::Bool(true);
-    let int = |e: &'a Expr| if let Value::Int(n) = walk(e, f, lets) { n } else { 0 };
-    let text = |e: &'a Expr| if let Value::Text(t) = walk(e, f, lets) { t } else { "" };
+fn evaluate<'a>(e: &'a Expr, f: &Fields<'a>, lets: &'a [(String, crate::Span, Expr)]) -> Value<'a> {
+    let truth = |e: &'a Expr| evaluate(e, f, lets) == Value::Bool(true);
+    let int = |e: &'a Expr| if let Value::Int(n) = evaluate(e, f, lets) { n } else { 0 };
+    let text = |e: &'a Expr| if let Value::Text(t) = evaluate(e, f, lets) { t } else { "" };
     match &e.kind {
         ExprKind::Int(n) | ExprKind::Size(n) | ExprKind::Duration(n) => Value::Int(*n),
         ExprKind::Bool(b) => Value::Bool(*b),
         ExprKind::Text(t) => Value::Text(t),
         ExprKind::Name(n) => match FIELDS.iter().find(|x| x.0 == n) {
             Some(x) => f.value(x.1),
-            None => walk(&lets.iter().find(|l| l.0 == *n).expect("a let").2, f, lets),
+            None => evaluate(&lets.iter().find(|l| l.0 == *n).expect("a `let` definition").2, f, lets),
         },
         ExprKind::Not(a) => Value::Bool(!truth(a)),
         ExprKind::And(a) => Value::Bool(a.iter().all(truth)),
         ExprKind::Or(a) => Value::Bool(a.iter().any(truth)),
-        ExprKind::Compare(c, a, b) => Value::Bool(compare(*c, walk(a, f, lets), walk(b, f, lets))),
-        ExprKind::In(a, items) => Value::Bool(items.iter().any(|i| walk(i, f, lets) == walk(a, f, lets))),
+        ExprKind::Compare(c, a, b) => Value::Bool(compare(*c, evaluate(a, f, lets), evaluate(b, f, lets))),
+        ExprKind::In(a, items) => {
+            Value::Bool(items.iter().any(|i| evaluate(i, f, lets) == evaluate(a, f, lets)))
+        }
         ExprKind::Chain(a, rest) => Value::Int(rest.iter().fold(int(a), |n, (op, t)| op.apply(n, int(t)))),
-        ExprKind::If(a, b, c) => walk(if truth(a) { b } else { c }, f, lets),
-        ExprKind::Invalid => unreachable!("a file with faults"),
+        ExprKind::If(a, b, c) => evaluate(if truth(a) { b } else { c }, f, lets),
+        ExprKind::Invalid => unreachable!("a file with errors"),
         ExprKind::Call(n, a) => match n.as_str() {
-            "hash" => Value::Int(hash(&a.iter().map(|x| walk(x, f, lets)).collect::<Vec<_>>())),
+            "hash" => Value::Int(hash(&a.iter().map(|x| evaluate(x, f, lets)).collect::<Vec<_>>())),
             "starts_with" => Value::Bool(text(&a[0]).starts_with(text(&a[1]))),
             "ends_with" => Value::Bool(text(&a[0]).ends_with(text(&a[1]))),
             "contains" => Value::Bool(text(&a[0]).contains(text(&a[1]))),
@@ -48,8 +50,9 @@
     let tokens = lex(text, &mut diagnostics);
     let file = Parser::new(&tokens, &mut diagnostics).parse_file();
     assert!(diagnostics.is_empty(), "{diagnostics:?}");
-    let holds = |r: &&Row| r.condition.as_ref().is_none_or(|w| walk(w, f, &file.lets) == Value::Bool(true));
-    let key = file.key.as_ref().map(|k| match walk(k, f, &file.lets) {
+    let holds =
+        |r: &&Row| r.condition.as_ref().is_none_or(|w| evaluate(w, f, &file.lets) == Value::Bool(true));
+    let key = file.key.as_ref().map(|k| match evaluate(k, f, &file.lets) {
         Value::Int(n) => n as u64,
         _ => 0,
     });
@@ -181,14 +184,14 @@
         let file_text = rules_text(std::slice::from_ref(&text), "1");
         let mut diagnostics = Vec::new();
         let file = Parser::new(&lex(&file_text, &mut diagnostics), &mut diagnostics).parse_file();
-        let mut known = Bindings::default();
-        file.lets.iter().for_each(|l| known.add(&l.0, &l.2));
+        let mut bindings = Bindings::default();
+        file.lets.iter().for_each(|l| bindings.add(&l.0, &l.2));
         let condition = file.classes[0].condition.as_ref().expect("a condition");
-        for wanted in [true, false] {
-            let region = known.region(condition, wanted);
+        for expected in [true, false] {
+            let region = bindings.region(condition, expected);
             for r in &requests {
                 let f = fields(r);
-                let holds = (walk(condition, &f, &file.lets) == Value::Bool(true)) == wanted;
+                let holds = (evaluate(condition, &f, &file.lets) == Value::Bool(true)) == expected;
                 let is_contained = region.cells.iter().any(|c| cell_contains(c, &f));
                 prop_assert!(!holds || is_contained, "{text} {f:?} left out of {region:?}");
                 prop_assert!(!is_contained || holds || !region.exact, "{text} {f:?} is not in {region:?}");
@@ -230,7 +233,7 @@
             // says which.
             Err(e) => {
                 let is_expected = e.0.iter().all(|d| d.message.contains("overflows") || d.message.contains("at once") || d.message.contains("zero"));
-                prop_assert!(is_expected, "{}", e.render("drawn", text.as_bytes(), Severity::Error));
+                prop_assert!(is_expected, "{}", e.render("generated", text.as_bytes(), Severity::Error));
                 return Ok(());
             }
         };
@@ -256,7 +259,7 @@
     ], 0..60)) {
         let text = words.join(" ");
         if let Err(e) = Rules::compile(text.as_bytes()) {
-            prop_assert!(!e.render("drawn", text.as_bytes(), Severity::Error).is_empty());
+            prop_assert!(!e.render("generated", text.as_bytes(), Severity::Error).is_empty());
         }
     }
 }
--- a/crates/terms/src/class.rs
+++ b/crates/terms/src/class.rs
@@ -25,7 +25,7 @@
             Rule::OneAnswer,
             "aim",
             format!(
-                "wants an answer within {} and its clients leave after {}",
+                "wants an answer within {} and its clients disconnect after {}",
                 ms(class.aim_ms),
                 ms(class.deadline_ms)
             ),
--- a/crates/terms/tests/violations.rs
+++ b/crates/terms/tests/violations.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn good() -> Settings {
+fn valid_settings() -> Settings {
     Settings {
         hosts: 2,
         classes: vec![class(Effect::Safe), class(Effect::Keyed)],
@@ -56,7 +56,7 @@
 }
 
 fn violations(change: impl FnOnce(&mut Settings)) -> Vec<Violation> {
-    let mut s = good();
+    let mut s = valid_settings();
     change(&mut s);
     check(&s, &["roster-read", "visit-note"])
 }
@@ -187,14 +187,14 @@
         hedge_after in prop_oneof![Just(0.0), 1.0f64..1500.0], effect in 0usize..3, window in 0.0f64..2000.0, max in 1u32..6,
         budget in proptest::option::of((0.0f64..3.0, 0.0f64..0.2)), hedging: bool, ordered: bool,
     ) {
-        let mut s = good();
+        let mut s = valid_settings();
         s.max_attempts = max;
         s.hedging = hedging;
         s.retry_budget = budget.map(|(free, ratio)| RetryBudget { free, ratio, span_ms: 1000.0 });
         let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][effect];
         let attempt_policy = AttemptPolicy { attempt_timeout_ms: timeout, attempts, retry_delay_ms: delay, retry_jitter_ms: jitter, hedge_after_ms: hedge_after };
         s.classes = vec![Class { window_ms: window, ordered, attempt_policy, ..class(effect) }];
-        if check(&s, &["drawn"]).is_empty() {
+        if check(&s, &["generated"]).is_empty() {
             let last = f64::from(attempts.saturating_sub(1)) * (timeout + delay + jitter);
             if attempts > 1 {
                 prop_assert!(last + timeout <= 1000.0, "the last attempt ends after the deadline");
@@ -210,7 +210,7 @@
 
     #[test]
     fn arbitrary_numbers_do_not_panic(numbers in proptest::collection::vec(any::<f64>(), 12), counts: [u32; 4]) {
-        let mut s = good();
+        let mut s = valid_settings();
         let f = |n: usize| numbers[n];
         (s.round_ms, s.drain_grace_ms, s.cold_from, s.fall_multiple, s.cold_units, s.max_units) =
             (f(0), f(1), f(2), f(3), f(4), f(5));
