--- a/crates/match/src/compile.rs
+++ b/crates/match/src/compile.rs
@@ -18,9 +18,11 @@
 pub(crate) struct Compiler {
     pub(crate) program: Program,
     pub(crate) diagnostics: Vec<Diagnostic>,
+    /// Slot, type and span of the name of each `let` definition so far.
     lets: HashMap<String, (u16, Option<Type>, Span)>,
     /// All names that the file defines, including those defined later.
     all_names: HashSet<String>,
+    /// Stack depth at the current instruction.
     depth: usize,
 }
 
@@ -100,6 +102,7 @@
         Some(t)
     }
 
+    /// Emits instructions that push the value of an expression. Returns its type, or `None` if it is invalid.
     fn emit(&mut self, e: &Expr) -> Option<Type> {
         match &e.kind {
             ExprKind::Int(n) => self.push_constant(e.span, Constant::Int(*n), Type::Int),
@@ -164,6 +167,8 @@
         }
     }
 
+    /// Emits `and` or `or`: after each term but the last, `jump` skips the other terms if the result is
+    /// known.
     fn emit_logical(&mut self, terms: &[Expr], jump: fn(u32) -> Op) -> Option<Type> {
         let mut jumps = Vec::new();
         for (i, term) in terms.iter().enumerate() {
@@ -183,27 +188,27 @@
     fn emit_comparison(&mut self, span: Span, c: Comparison, a: &Expr, b: &Expr) -> Option<Type> {
         let (left_type, right_type) = (self.emit(a), self.emit(b));
         self.depth -= 1;
-        let text = left_type == Some(Type::Text);
+        let is_text = left_type == Some(Type::Text);
         // Only a left operand that is a field by itself may be merged with the comparison: the last field of
         // a longer expression may be the target of a jump.
         let is_field = matches!(a.kind, ExprKind::Name(_));
         match self.program.ops[..] {
             [.., Op::Field(field), Op::Const(constant)] if is_field => {
-                let shorter = self.program.ops.len() - 2;
-                self.program.ops.truncate(shorter);
-                self.program.spans.truncate(shorter);
-                let op = if text { Op::CompareFieldText } else { Op::CompareField };
+                let new_len = self.program.ops.len() - 2;
+                self.program.ops.truncate(new_len);
+                self.program.spans.truncate(new_len);
+                let op = if is_text { Op::CompareFieldText } else { Op::CompareField };
                 self.push(span, op(c, field, constant));
             }
-            _ => self.push(span, if text { Op::CompareText(c) } else { Op::Compare(c) }),
+            _ => self.push(span, if is_text { Op::CompareText(c) } else { Op::Compare(c) }),
         }
         if let (Some(left_type), Some(right_type)) = (left_type, right_type) {
-            let ordered = !matches!(c, Comparison::Equal | Comparison::Unequal);
+            let needs_order = !matches!(c, Comparison::Equal | Comparison::Unequal);
             if left_type != right_type {
                 let diagnostic =
                     Diagnostic::new(b.span, format!("{left_type} is compared with {right_type}"));
                 self.diagnostics.push(diagnostic.label(a.span, format!("this is {left_type}")));
-            } else if ordered && matches!(left_type, Type::Text | Type::Bool) {
+            } else if needs_order && matches!(left_type, Type::Text | Type::Bool) {
                 self.error::<()>(span, format!("{left_type} cannot be ordered; only `==` and `!=` apply"));
             }
         }
--- a/crates/match/src/coverage.rs
+++ b/crates/match/src/coverage.rs
@@ -62,6 +62,7 @@
 }
 
 impl RowIndex {
+    /// Creates an empty index over the field whose values most rows enumerate.
     fn new(regions: &[Region]) -> RowIndex {
         let enumerating_rows =
             |f: Field| regions.iter().filter(|r| enumerated_values(r, f).is_some()).count();
--- a/crates/match/src/parser.rs
+++ b/crates/match/src/parser.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Parses a whole file.
+    /// Parses a file; errors are added to the diagnostics.
     pub(crate) fn parse_file(mut self) -> RulesFile {
         let mut file = RulesFile::default();
         while *self.peek() != Token::End {
@@ -196,6 +196,7 @@
         })
     }
 
+    /// Parses with the nesting depth increased by one, or fails if [`MAX_DEPTH`] is reached.
     fn with_depth<T>(&mut self, parse: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
         if self.depth >= MAX_DEPTH {
             return Err(Diagnostic::new(self.span(), format!("nested deeper than {MAX_DEPTH}"))
@@ -280,6 +281,7 @@
         Ok(Expr { kind: ExprKind::Compare(*comparison, Box::new(left), Box::new(right)), span })
     }
 
+    /// Parses operands separated by operators of one precedence level.
     fn binary_chain(
         &mut self,
         operators: &[(&str, ArithOp)],
--- a/crates/match/src/rules.rs
+++ b/crates/match/src/rules.rs
@@ -33,7 +33,7 @@
         program.with_lets(fields, observer, |lets, observer| {
             let none = self.rows.len() as u32;
             let mut holds = |row: u32, observer: &mut _| match self.rows[row as usize].1 {
-                Some(from) => program.run(from, fields, lets, observer) == Value::Bool(true),
+                Some(entry) => program.run(entry, fields, lets, observer) == Value::Bool(true),
                 None => true,
             };
             let first = self.tree.first_match(fields, none, observer, &mut holds);
@@ -137,7 +137,7 @@
     /// # Errors
     /// All errors of the file, in the order of their spans; or a single one if the limit is exceeded.
     pub fn compile_with_limit(text: &[u8], max_steps: u64) -> Result<Rules, Diagnostics> {
-        let one = |f| Diagnostics(vec![f]);
+        let single = |d| Diagnostics(vec![d]);
         let text = as_text(text)?;
         let mut diagnostics = Vec::new();
         let tokens = lex(text, &mut diagnostics);
@@ -183,8 +183,10 @@
                 file.classes.iter().zip(row_steps(&classes)).chain(file.plans.iter().zip(row_steps(&plans)));
             let most_expensive = rows.max_by_key(|r| r.1).map_or((end, 0), |(row, cost)| (row.span, cost));
             let diagnostic = Diagnostic::new(most_expensive.0, message);
-            return Err(one(diagnostic
-                .help(format!("this row is the most expensive one, with {} steps", most_expensive.1))));
+            return Err(single(
+                diagnostic
+                    .help(format!("this row is the most expensive one, with {} steps", most_expensive.1)),
+            ));
         }
         let mut rules = Rules {
             spans: file.classes.iter().map(|r| r.span).collect(),
@@ -201,8 +203,8 @@
             regions,
         };
         let names: HashMap<&str, usize> = rules.class_names().into_iter().zip(0..).collect();
-        let numbers = rules.classes.rows.iter().map(|(name, _)| names[name.as_str()]).collect();
-        rules.class_indices = numbers;
+        let class_indices = rules.classes.rows.iter().map(|(name, _)| names[name.as_str()]).collect();
+        rules.class_indices = class_indices;
         Ok(rules)
     }
 
@@ -246,7 +248,7 @@
         let mut out = Explanation { lets: values.collect(), rows: Vec::new(), steps };
         for ((name, condition), span) in self.classes.rows.iter().zip(&self.spans) {
             let mut trace = Trace::default();
-            let holds = |from| self.program.run(from, fields, &lets, &mut trace) == Value::Bool(true);
+            let holds = |entry| self.program.run(entry, fields, &lets, &mut trace) == Value::Bool(true);
             let matched = condition.is_none_or(holds);
             let Trace { steps, tests } = trace;
             out.rows.push(RowTrace { class: name.clone(), span: *span, matched, steps, tests });
@@ -274,7 +276,7 @@
         let row = self.program.with_lets(fields, &mut (), |lets, observer| {
             let mut holds = |condition: &Option<u32>| {
                 condition
-                    .is_none_or(|from| self.program.run(from, fields, lets, observer) == Value::Bool(true))
+                    .is_none_or(|entry| self.program.run(entry, fields, lets, observer) == Value::Bool(true))
             };
             self.classes.rows.iter().position(|(_, condition)| holds(condition))
         })?;
