--- a/crates/rulecheck/src/lib.rs
+++ b/crates/rulecheck/src/lib.rs
@@ -1,8 +1,9 @@
-//! Proves the seven rules from a record of what passed over sockets, and of nothing else.
+//! Checks a recorded run against the seven rules, from the traffic on its sockets alone.
 //!
-//! It shares no code with the module, the host, or their protocol packages: a fault common to both would go
-//! unseen. [`wire`] cuts a stream of bytes into iSCSI headers by itself, [`record`] holds the notes, [`trace`]
-//! puts commands and attempts together, [`rules`] judges them.
+//! The checker shares no code with the scheduler, the host or their protocol crates, because it could not
+//! detect a bug that it has in common with them. [`wire`] extracts iSCSI headers from byte streams,
+//! [`record`] defines the recorded events, [`trace`] reconstructs commands and attempts from them, and
+//! [`rules`] checks the result.
 
 pub mod record;
 pub mod rules;
--- a/crates/rulecheck/src/record.rs
+++ b/crates/rulecheck/src/record.rs
@@ -1,189 +1,191 @@
-//! Notes, in the order of their times, and the figures that they are judged by.
+//! Recorded events, in order of time, and the parameters that they are checked against.
 
 use crate::wire::{Header, MediaAccess};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Whose socket.
+/// The process that owns a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Endpoint {
-    /// A client's, connected to a host.
+    /// A client that is connected to a host.
     Client {
-        /// The host.
+        /// Number of the host.
         host: u16,
     },
-    /// A node's.
+    /// A storage node.
     Node {
-        /// The node.
+        /// Node id.
         node: u32,
     },
 }
 
-/// One note.
+/// One recorded event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceEvent {
-    /// Microseconds since the record began.
+    /// Microseconds since the recording began.
     pub at_us: u64,
-    /// What.
+    /// What happened.
     #[serde(rename = "what")]
     pub kind: TraceEventKind,
 }
 
-/// What was noted.
+/// The kinds of recorded events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum TraceEventKind {
-    /// A PDU passed a socket.
+    /// A PDU was sent or received on a socket.
     Pdu {
-        /// Whose socket.
+        /// Owner of the socket.
         #[serde(rename = "place")]
         endpoint: Endpoint,
-        /// Which connection, unique in the record.
+        /// Connection number, unique in the recording.
         stream: u64,
-        /// Sent by the owner of the socket.
+        /// Whether the owner of the socket sent the PDU rather than received it.
         sent: bool,
-        /// The header.
+        /// Header of the PDU.
         header: Header,
     },
-    /// A connection ended.
+    /// A connection was closed.
     Closed {
-        /// Which.
+        /// Connection number.
         stream: u64,
     },
-    /// The directory's answer to a host, as it went out, had this line.
+    /// A response of the directory to a host listed this node; recorded when the response was sent.
     #[serde(rename = "told")]
     NodeListed {
         /// The host.
         host: u16,
         /// The node.
         node: u32,
-        /// Whether it takes new requests.
+        /// Whether the node accepts new requests.
         ready: bool,
-        /// Its last start, milliseconds of the Unix epoch.
+        /// Last start of the node, milliseconds since the Unix epoch.
         started_ms: f64,
     },
-    /// A node's process began; cold where `cold`.
+    /// A node's process started.
     NodeStarted {
         /// The node.
         node: u32,
-        /// Shard and zone.
+        /// Shard that the node holds.
         shard: u16,
-        /// Zone.
+        /// Zone of the node.
         zone: u16,
-        /// Whether it starts cold.
+        /// Whether the node starts cold.
         cold: bool,
-        /// Units a second that it can do when warm.
+        /// Capacity of the warm node, units per second.
         units_per_s: f64,
     },
-    /// A node carried out the effect of a command, once.
+    /// A node applied the effect of a command once.
     Applied {
         /// The node.
         node: u32,
-        /// Host, start of the host, session, command and part.
+        /// Host, start time of the host, session, CmdSN and part.
         key: (u16, u32, u16, u32, u16),
     },
-    /// A host is made to stand still by the script, from now: it can answer nobody, and its clients' deadlines that
-    /// fall within are the trouble's.
+    /// The scenario pauses a host from now on. The host cannot answer meanwhile, so a client deadline that
+    /// falls into the pause is not a violation.
     HostStalled {
         /// The host.
         host: u16,
-        /// For how long.
+        /// Length of the pause, microseconds.
         for_us: u64,
     },
-    /// A host was killed outright: what it held is the clients' to retry.
+    /// A host's process was killed. Its clients have to retry their unanswered commands.
     HostKilled {
         /// The host.
         host: u16,
     },
 }
 
-/// Whether a repeat can do harm.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// The request may be executed any number of times.
     Safe,
-    /// The nodes of a group drop a repeat for a time after the first send, milliseconds.
+    /// The nodes of a group discard a repeated request for a time after its first attempt.
     Keyed {
-        /// Who drops it.
+        /// Nodes that recognise the repeat.
         group: Group,
-        /// For how long.
+        /// How long they recognise it, milliseconds.
         window_ms: f64,
     },
-    /// Must not run twice.
+    /// The request must not be executed twice.
     Unsafe,
 }
 
-/// Who drops repeats.
+/// The nodes among which a repeated request is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All nodes.
     All,
-    /// Those of a zone.
+    /// The nodes of one zone.
     Zone,
-    /// Those that hold a shard.
+    /// The nodes that hold one shard.
     Shard,
 }
 
-/// A class.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How long its client waits, milliseconds.
+    /// Time from the last byte of a command to its final answer, milliseconds.
     pub deadline_ms: f64,
-    /// Whether a repeat can do harm.
+    /// Whether its requests may be executed more than once.
     pub effect: Effect,
-    /// Whether requests on one extent run one at a time.
+    /// Whether requests to one extent are executed one at a time and in order.
     pub ordered: bool,
 }
 
-/// A volume.
+/// Geometry and limit of a volume.
 #[derive(Clone, Debug)]
 pub struct Volume {
-    /// Bytes in a block.
+    /// Block size in bytes.
     pub block_bytes: u64,
-    /// Blocks in an extent.
+    /// Extent size in blocks.
     pub extent_blocks: u64,
-    /// Units a second, units at once, slack; where it has a limit.
+    /// Limit, if there is one: rate in units per second, burst and slack in units.
     pub limit: Option<(f64, f64, f64)>,
 }
 
-/// Stated figures.
+/// The parameters that the rules are checked with.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
-    /// Classes by position.
+    /// Classes by index.
     pub classes: Vec<Class>,
-    /// Which class a request gets: told by whoever knows the operator's rules.
+    /// Classifies a request by the operator's match rules.
     pub class_of: ClassOf,
-    /// Volumes by position.
+    /// Volumes by id.
     pub volumes: Vec<Volume>,
-    /// Nothing new to a node later than this after word, milliseconds.
+    /// Time in which a host must stop sending to a node after the directory lists it as not ready,
+    /// milliseconds.
     pub drain_grace_ms: f64,
-    /// A cold node's least part of its capacity; warm after; multiple; over; units always borne.
+    /// Fraction of its capacity that a node has at a cold start.
     pub cold_from: f64,
-    /// Milliseconds until warm.
+    /// Time from a cold start until a node has its full capacity, milliseconds.
     pub warm_after_ms: f64,
-    /// Multiple of present capacity at which it falls.
+    /// A cold node crashes at more than this multiple of its present capacity.
     pub fall_multiple: f64,
-    /// Span over which that counts, milliseconds.
+    /// Span over which the load of a cold node is summed, milliseconds.
     pub fall_ms: f64,
-    /// Units within that span that are always borne.
+    /// Load in that span that never crashes a cold node, units.
     pub cold_units: f64,
-    /// Rest of an extent after an unclear end, milliseconds.
+    /// Cooldown of an ordered extent after an attempt whose outcome is unknown, milliseconds.
     pub key_cooldown_ms: f64,
-    /// Further attempts: free, ratio, span in milliseconds.
+    /// Retry budget: free retries, ratio of retries to requests, span in milliseconds.
     pub retry_budget: Option<(f64, f64, f64)>,
-    /// How much later than it happened a thing may be noted, milliseconds: threads that wait for a core.
+    /// How much later than it happened an event may be recorded, milliseconds, because threads wait for a
+    /// core.
     pub margin_ms: f64,
 }
 
-/// Gives the class of a request: volume, and what it does.
+/// Returns the index of a request's class from its volume and its access.
 #[derive(Clone)]
 pub struct ClassOf(pub Arc<ClassOfFn>);
 
-/// See [`ClassOf`].
+/// The function in a [`ClassOf`].
 pub type ClassOfFn = dyn Fn(u32, &MediaAccess) -> Option<usize> + Send + Sync;
 
 impl std::fmt::Debug for ClassOf {
--- a/crates/rulecheck/src/wire.rs
+++ b/crates/rulecheck/src/wire.rs
@@ -1,6 +1,6 @@
-//! Headers out of a stream of bytes, data segments left out. Sessions without digests only.
+//! Extracts iSCSI headers from byte streams and skips data segments. Supports sessions without digests only.
 
-/// Opcodes that the checker looks at (RFC 7143, section 11.2.1.2).
+/// Opcodes that the checker evaluates (RFC 7143, section 11.2.1.2).
 #[allow(missing_docs)]
 pub mod opcode {
     pub const COMMAND: u8 = 0x01;
@@ -13,23 +13,24 @@
     pub const R2T: u8 = 0x31;
 }
 
-/// A header with its additional segments. In text it is one run of hexadecimal digits.
+/// A basic header segment with its additional header segments, serialized as one string of hexadecimal
+/// digits.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Header {
-    /// The 48 bytes.
+    /// The basic header segment, 48 bytes.
     pub bytes: [u8; 48],
-    /// What follows them before the data.
+    /// The additional header segments.
     pub extra: Vec<u8>,
 }
 
 impl Header {
-    /// Opcode.
+    /// Opcode without the immediate-delivery bit.
     pub fn opcode(&self) -> u8 {
         self.bytes[0] & 0x3f
     }
 
-    /// Whether the F bit is set.
+    /// Whether the final (F) bit is set.
     pub fn is_final(&self) -> bool {
         self.bytes[1] & 0x80 != 0
     }
@@ -39,17 +40,17 @@
         self.u32_at(16)
     }
 
-    /// Four bytes as a number.
+    /// The big-endian number in the four bytes at an offset.
     pub fn u32_at(&self, at: usize) -> u32 {
         self.bytes[at..at + 4].iter().fold(0, |n, b| n << 8 | u32::from(*b))
     }
 
-    /// Whether it ends a command: a response, or the last data with status.
+    /// Whether this PDU carries a command's status: a SCSI response, or Data-In with the S bit set.
     pub fn ends_command(&self) -> bool {
         self.opcode() == opcode::RESPONSE || (self.opcode() == opcode::DATA_IN && self.bytes[1] & 1 != 0)
     }
 
-    /// SCSI status of what ends a command.
+    /// SCSI status of a PDU for which [`Self::ends_command`] is true.
     pub fn status(&self) -> u8 {
         self.bytes[3]
     }
@@ -70,10 +71,10 @@
 
     fn try_from(text: String) -> Result<Header, String> {
         let digits: Option<Vec<u8>> = text.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
-        let digits = digits.ok_or("a header is written in hexadecimal digits")?;
-        // The length of all additional segments is one byte of words (RFC 7143, section 11.2.1.5).
+        let digits = digits.ok_or("header contains a character that is not a hexadecimal digit")?;
+        // TotalAHSLength is one byte that counts four-byte words (RFC 7143, section 11.2.1.5).
         if digits.len() % 2 != 0 || !(96..=96 + 2 * 255 * 4).contains(&digits.len()) {
-            return Err(format!("a header has 48 to 1068 bytes, this one {} digits", digits.len()));
+            return Err(format!("a header has 48 to 1068 bytes, found {} hexadecimal digits", digits.len()));
         }
         let all: Vec<u8> = digits.chunks_exact(2).map(|d| d[0] << 4 | d[1]).collect();
         let mut header = Header { bytes: [0; 48], extra: all[48..].to_vec() };
@@ -82,67 +83,75 @@
     }
 }
 
-/// Cuts one direction of one stream.
+/// Extracts the headers from one direction of one connection.
 #[derive(Debug, Default)]
 pub struct HeaderParser {
-    held: Vec<u8>,
-    skip: usize,
+    /// The part of the current header received so far.
+    partial_header: Vec<u8>,
+    /// Bytes of the current data segment and its padding that are still to be skipped.
+    bytes_to_skip: usize,
 }
 
 impl HeaderParser {
-    /// Takes bytes as they passed; calls back for each header that they complete.
-    pub fn feed(&mut self, mut bytes: &[u8], mut each: impl FnMut(Header)) {
+    /// Consumes bytes in stream order and calls `on_header` for each header that they complete.
+    pub fn feed(&mut self, mut bytes: &[u8], mut on_header: impl FnMut(Header)) {
         while !bytes.is_empty() {
-            if self.skip > 0 {
-                let n = self.skip.min(bytes.len());
-                self.skip -= n;
+            if self.bytes_to_skip > 0 {
+                let n = self.bytes_to_skip.min(bytes.len());
+                self.bytes_to_skip -= n;
                 bytes = &bytes[n..];
                 continue;
             }
-            let want = if self.held.len() < 48 { 48 } else { 48 + usize::from(self.held[4]) * 4 };
-            let n = (want - self.held.len()).min(bytes.len());
-            self.held.extend_from_slice(&bytes[..n]);
+            let header_len = if self.partial_header.len() < 48 {
+                48
+            } else {
+                48 + usize::from(self.partial_header[4]) * 4
+            };
+            let n = (header_len - self.partial_header.len()).min(bytes.len());
+            self.partial_header.extend_from_slice(&bytes[..n]);
             bytes = &bytes[n..];
-            if self.held.len() < 48 || self.held.len() < 48 + usize::from(self.held[4]) * 4 {
+            if self.partial_header.len() < 48
+                || self.partial_header.len() < 48 + usize::from(self.partial_header[4]) * 4
+            {
                 continue;
             }
-            let data = self.held[5..8].iter().fold(0usize, |n, b| n << 8 | usize::from(*b));
-            self.skip = data.div_ceil(4) * 4;
-            let mut header = Header { bytes: [0; 48], extra: self.held.split_off(48) };
-            header.bytes.copy_from_slice(&self.held);
-            self.held.clear();
-            each(header);
+            let data = self.partial_header[5..8].iter().fold(0usize, |n, b| n << 8 | usize::from(*b));
+            self.bytes_to_skip = data.div_ceil(4) * 4;
+            let mut header = Header { bytes: [0; 48], extra: self.partial_header.split_off(48) };
+            header.bytes.copy_from_slice(&self.partial_header);
+            self.partial_header.clear();
+            on_header(header);
         }
     }
 }
 
-/// What the project's extension says with a command toward a node: additional header type 62.
+/// Metadata that a host attaches to each command for a node: additional header segment of type 62.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommandMetadata {
-    /// Host, session handle, number of the command, part of it; and the start of the host's process.
+    /// Number of the host that sent the command.
     pub host: u16,
-    /// Start of the host's process, seconds.
+    /// Start time of the host's process, seconds.
     pub host_start_s: u32,
-    /// Handle of the client's session.
+    /// Handle (TSIH) of the client's session at the host.
     pub session: u16,
-    /// Number of the client's command.
+    /// CmdSN of the client's command.
     pub cmd_sn: u32,
-    /// Part of the command.
+    /// Index of the part, of a command that the host split into several requests.
     pub part: u16,
-    /// Number of the attempt.
+    /// Attempt number, from 0.
     pub attempt: u16,
-    /// Volume.
+    /// Volume id.
     pub volume: u32,
-    /// Thousandths of a unit.
+    /// Cost in thousandths of a unit.
     pub milli_units: u32,
 }
 
 impl CommandMetadata {
-    /// Found in what follows a header.
+    /// Finds the metadata in additional header segments.
     pub fn find(mut extra: &[u8]) -> Option<CommandMetadata> {
         while extra.len() >= 4 {
             let len = usize::from(extra[0]) << 8 | usize::from(extra[1]);
-            let whole = (3 + len).div_ceil(4) * 4;
+            let padded_len = (3 + len).div_ceil(4) * 4;
             let body = extra.get(4..3 + len)?;
             if extra[2] >> 2 == 62 && body.len() == 24 {
                 let n =
@@ -158,20 +167,20 @@
                     milli_units: n(20, 24),
                 });
             }
-            extra = extra.get(whole..)?;
+            extra = extra.get(padded_len..)?;
         }
         None
     }
 }
 
-/// What a CDB does with the medium: operation, first block, blocks.
+/// A command's access to the medium, decoded from its CDB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MediaAccess {
     /// Operation.
     pub op: Op,
     /// First block.
     pub lba: u64,
-    /// Blocks.
+    /// Number of blocks.
     pub blocks: u64,
 }
 
@@ -187,7 +196,7 @@
     CompareAndWrite,
 }
 
-/// Reads a CDB (SBC-3); `None` for what touches no medium.
+/// Decodes a CDB (SBC-3). `None` for a command that does not access the medium.
 pub fn parse_media_access(cdb: &[u8]) -> Option<MediaAccess> {
     let n = |from: usize, to: usize| cdb[from..to].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
     let op = match cdb[0] {
@@ -213,7 +222,7 @@
     use super::*;
 
     #[test]
-    fn headers_come_out_of_any_cuts() {
+    fn headers_are_extracted_whatever_the_chunk_size() {
         let mut stream = Vec::new();
         for (i, data) in [0usize, 5, 4096, 3].into_iter().enumerate() {
             let mut h = [0u8; 48];
@@ -222,12 +231,12 @@
             stream.extend_from_slice(&h);
             stream.extend(std::iter::repeat_n(7, (i % 3) * 4 + data.div_ceil(4) * 4));
         }
-        for cut in [1, 2, 47, 48, 49, 1000, stream.len()] {
+        for chunk_len in [1, 2, 47, 48, 49, 1000, stream.len()] {
             let (mut parser, mut tags) = (HeaderParser::default(), Vec::new());
-            for piece in stream.chunks(cut) {
-                parser.feed(piece, |h| tags.push((h.tag(), h.extra.len())));
+            for chunk in stream.chunks(chunk_len) {
+                parser.feed(chunk, |h| tags.push((h.tag(), h.extra.len())));
             }
-            assert_eq!(tags, [(0, 0), (1, 4), (2, 8), (3, 0)], "{cut}");
+            assert_eq!(tags, [(0, 0), (1, 4), (2, 8), (3, 0)], "{chunk_len}");
         }
     }
 }
--- a/crates/rulecheck/tests/mutants.rs
+++ b/crates/rulecheck/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! A sound record passes; each break made on purpose is found, and by its own rule.
+//! A correct recording passes all rules. Each deliberate violation is found, and by its own rule alone.
 
 use pearfork_rulecheck::record::{Class, ClassOf, Effect, Group, RuleParameters, Volume};
 use pearfork_rulecheck::wire::{opcode, Header, Op};
@@ -9,7 +9,7 @@
 const KEYED: u64 = 1;
 const UNSAFE: u64 = 2;
 
-fn figures() -> RuleParameters {
+fn parameters() -> RuleParameters {
     let class =
         |name: &str, effect, ordered| Class { name: name.to_owned(), deadline_ms: 1000.0, effect, ordered };
     RuleParameters {
@@ -36,11 +36,11 @@
     }
 }
 
-/// A record written by hand; times in milliseconds.
+/// Builds a recording by hand. Times are in milliseconds.
 #[derive(Default)]
-struct Tape(Vec<TraceEvent>);
+struct RecordingBuilder(Vec<TraceEvent>);
 
-impl Tape {
+impl RecordingBuilder {
     fn add(&mut self, at_ms: u64, kind: TraceEventKind) {
         self.0.push(TraceEvent { at_us: at_ms * 1000, kind });
     }
@@ -55,23 +55,23 @@
         self.pdu(0, Endpoint::Client { host: 0 }, stream, false, h);
     }
 
-    /// A command of a kind on an extent; its number is its tag.
+    /// Adds a command of a kind to an extent. Its CmdSN is its task tag as well.
     fn command(&mut self, at: u64, number: u32, kind: u64, extent: u64) {
         self.pdu(at, Endpoint::Client { host: 0 }, 1, true, command(number, kind, extent));
     }
 
-    fn answer(&mut self, at: u64, number: u32, status: u8) {
+    fn final_answer(&mut self, at: u64, number: u32, status: u8) {
         let mut h = header(opcode::RESPONSE, number);
         h.bytes[3] = status;
         self.pdu(at, Endpoint::Client { host: 0 }, 1, false, h);
     }
 
     fn attempt(&mut self, at: u64, node: u32, number: u32, attempt: u16, kind: u64, extent: u64) {
-        self.attempt_of(at, node, number, attempt, kind, extent, 1000);
+        self.attempt_with_cost(at, node, number, attempt, kind, extent, 1000);
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn attempt_of(
+    fn attempt_with_cost(
         &mut self,
         at: u64,
         node: u32,
@@ -79,7 +79,7 @@
         attempt: u16,
         kind: u64,
         extent: u64,
-        milli: u32,
+        milli_units: u32,
     ) {
         let mut h = command(number * 10 + u32::from(attempt), kind, extent);
         let mut body = vec![0, 0, 0, 0, 0, 1, 0, 1];
@@ -87,13 +87,13 @@
         body.extend([0, 0]);
         body.extend(attempt.to_be_bytes());
         body.extend([0, 0, 0, 0]);
-        body.extend(milli.to_be_bytes());
+        body.extend(milli_units.to_be_bytes());
         h.extra = [&[0, 25, 62 << 2, 0][..], &body].concat();
         h.bytes[4] = 7;
         self.pdu(at, Endpoint::Node { node }, 100 + u64::from(node), false, h);
     }
 
-    fn ended(&mut self, at: u64, node: u32, number: u32, attempt: u16, status: u8) {
+    fn response(&mut self, at: u64, node: u32, number: u32, attempt: u16, status: u8) {
         let mut h = header(opcode::RESPONSE, number * 10 + u32::from(attempt));
         h.bytes[3] = status;
         self.pdu(at, Endpoint::Node { node }, 100 + u64::from(node), true, h);
@@ -103,20 +103,20 @@
         self.add(at, TraceEventKind::Applied { node, key: (0, 1, 1, number, 0) });
     }
 
-    /// Served whole: command, attempt, effect, answers.
+    /// Adds a served command: the command, one attempt, its effect, the response and the final answer.
     fn served(&mut self, at: u64, number: u32, kind: u64, extent: u64) {
         self.command(at, number, kind, extent);
         self.attempt(at + 1, 1, number, 0, kind, extent);
         if kind != SAFE {
             self.applied(at + 5, 1, number);
         }
-        self.ended(at + 6, 1, number, 0, 0);
-        self.answer(at + 7, number, 0);
+        self.response(at + 6, 1, number, 0, 0);
+        self.final_answer(at + 7, number, 0);
     }
 
-    fn judge(mut self) -> Report {
+    fn check(mut self) -> Report {
         self.0.sort_by_key(|n| n.at_us);
-        check(&self.0, &figures(), &|_, _| Some(0))
+        check(&self.0, &parameters(), &|_, _| Some(0))
     }
 }
 
@@ -132,219 +132,224 @@
     h.bytes[24..28].copy_from_slice(&number.to_be_bytes());
     h.bytes[32] = [0x88, 0x8a, 0x89][kind as usize];
     h.bytes[34..42].copy_from_slice(&(extent * 64).to_be_bytes());
-    // The last byte of a length of four bytes, or the one byte of COMPARE AND WRITE.
+    // Transfer length 1: the last of the four bytes of READ(16) and WRITE(16), the only byte of COMPARE AND
+    // WRITE.
     h.bytes[45] = 1;
     h
 }
 
-fn start() -> Tape {
-    let mut t = Tape::default();
-    t.login(1);
+fn new_recording() -> RecordingBuilder {
+    let mut recording = RecordingBuilder::default();
+    recording.login(1);
     for node in [1, 2] {
         let shard = node as u16;
-        t.add(0, TraceEventKind::NodeStarted { node, shard, zone: 0, cold: false, units_per_s: 10.0 });
+        recording
+            .add(0, TraceEventKind::NodeStarted { node, shard, zone: 0, cold: false, units_per_s: 10.0 });
     }
-    t
+    recording
 }
 
-fn only(report: &Report, rule: Rule, words: &str) {
+fn assert_only_violation(report: &Report, rule: Rule, message: &str) {
     for f in &report.0 {
-        let told = f.violations.iter().any(|b| b.contains(words));
+        let found = f.violations.iter().any(|b| b.contains(message));
         assert_eq!(f.rule == rule, !f.violations.is_empty(), "{}: {:?}", f.rule, f.violations);
-        assert!(f.rule != rule || told, "{words}: {:?}", f.violations);
+        assert!(f.rule != rule || found, "{message}: {:?}", f.violations);
     }
 }
 
 #[test]
-fn a_sound_record_passes_and_every_rule_had_something_to_judge() {
-    let mut t = start();
+fn correct_recording_passes_and_every_rule_makes_checks() {
+    let mut recording = new_recording();
     for n in 0..10 {
-        t.served(100 + u64::from(n) * 200, n + 1, u64::from(n % 3), 5);
+        recording.served(100 + u64::from(n) * 200, n + 1, u64::from(n % 3), 5);
     }
-    // A repeat in time, in its group, dropped by the node.
-    t.command(3000, 50, KEYED, 9);
-    t.attempt(3001, 1, 50, 0, KEYED, 9);
-    t.attempt(3200, 1, 50, 1, KEYED, 9);
-    t.applied(3210, 1, 50);
-    t.ended(3211, 1, 50, 1, 0);
-    t.answer(3212, 50, 0);
-    // Unsafe work turned away unseen goes again; refused at last, since it never ran.
-    t.command(4000, 51, UNSAFE, 7);
-    t.attempt(4001, 1, 51, 0, UNSAFE, 7);
-    t.ended(4002, 1, 51, 0, 0x28);
-    t.answer(4500, 51, 0x08);
-    // A node restarts cold and gets little; another is said to drain.
-    t.add(5000, TraceEventKind::NodeStarted { node: 2, shard: 2, zone: 0, cold: true, units_per_s: 10.0 });
-    t.command(5100, 52, SAFE, 6);
-    t.attempt(5101, 2, 52, 0, SAFE, 6);
-    t.ended(5105, 2, 52, 0, 0);
-    t.answer(5106, 52, 0);
-    t.add(6000, TraceEventKind::NodeListed { host: 0, node: 1, ready: false, started_ms: 0.0 });
-    let report = t.judge();
+    // A retry within the window and the group; the node discards the repeat.
+    recording.command(3000, 50, KEYED, 9);
+    recording.attempt(3001, 1, 50, 0, KEYED, 9);
+    recording.attempt(3200, 1, 50, 1, KEYED, 9);
+    recording.applied(3210, 1, 50);
+    recording.response(3211, 1, 50, 1, 0);
+    recording.final_answer(3212, 50, 0);
+    // An unsafe command whose attempt was rejected, and which was refused in the end because it was not
+    // executed.
+    recording.command(4000, 51, UNSAFE, 7);
+    recording.attempt(4001, 1, 51, 0, UNSAFE, 7);
+    recording.response(4002, 1, 51, 0, 0x28);
+    recording.final_answer(4500, 51, 0x08);
+    // A node restarts cold and gets little work; another one is listed as not ready.
+    recording
+        .add(5000, TraceEventKind::NodeStarted { node: 2, shard: 2, zone: 0, cold: true, units_per_s: 10.0 });
+    recording.command(5100, 52, SAFE, 6);
+    recording.attempt(5101, 2, 52, 0, SAFE, 6);
+    recording.response(5105, 2, 52, 0, 0);
+    recording.final_answer(5106, 52, 0);
+    recording.add(6000, TraceEventKind::NodeListed { host: 0, node: 1, ready: false, started_ms: 0.0 });
+    let report = recording.check();
     assert!(report.passed(), "{report}");
     assert!(report.0.iter().all(|f| f.checks > 0), "{report}");
 }
 
 #[test]
-fn a_missing_a_second_a_late_answer_and_work_after_the_end_are_found() {
-    let mut t = start();
-    t.command(100, 1, SAFE, 5);
-    only(&t.judge(), Rule::OneAnswer, "no answer");
-    let mut t = start();
-    t.served(100, 1, SAFE, 5);
-    t.answer(200, 1, 0);
-    only(&t.judge(), Rule::OneAnswer, "2 answers");
-    let mut t = start();
-    t.command(100, 1, SAFE, 5);
-    t.answer(1200, 1, 0x08);
-    only(&t.judge(), Rule::OneAnswer, "answered after 1100 ms");
-    let mut t = start();
-    t.served(100, 1, SAFE, 5);
-    t.attempt(300, 1, 1, 1, SAFE, 5);
-    only(&t.judge(), Rule::OneAnswer, "after the end");
+fn missing_second_and_late_answers_and_attempts_after_the_answer_are_found() {
+    let mut recording = new_recording();
+    recording.command(100, 1, SAFE, 5);
+    assert_only_violation(&recording.check(), Rule::OneAnswer, "no final answer");
+    let mut recording = new_recording();
+    recording.served(100, 1, SAFE, 5);
+    recording.final_answer(200, 1, 0);
+    assert_only_violation(&recording.check(), Rule::OneAnswer, "2 final answers");
+    let mut recording = new_recording();
+    recording.command(100, 1, SAFE, 5);
+    recording.final_answer(1200, 1, 0x08);
+    assert_only_violation(&recording.check(), Rule::OneAnswer, "answered after 1100 ms");
+    let mut recording = new_recording();
+    recording.served(100, 1, SAFE, 5);
+    recording.attempt(300, 1, 1, 1, SAFE, 5);
+    assert_only_violation(&recording.check(), Rule::OneAnswer, "after the command ended");
 }
 
 #[test]
-fn a_deadline_within_a_hosts_own_stall_is_excused_and_no_other() {
+fn only_deadlines_within_a_pause_of_the_host_are_excused() {
     let stalled = |at| {
-        let mut t = start();
-        t.command(100, 1, SAFE, 5);
-        t.add(at, TraceEventKind::HostStalled { host: 0, for_us: 400_000 });
-        t.answer(1450, 1, 0x08);
-        t.judge()
+        let mut recording = new_recording();
+        recording.command(100, 1, SAFE, 5);
+        recording.add(at, TraceEventKind::HostStalled { host: 0, for_us: 400_000 });
+        recording.final_answer(1450, 1, 0x08);
+        recording.check()
     };
     assert!(stalled(1050).passed());
-    only(&stalled(200), Rule::OneAnswer, "answered after");
+    assert_only_violation(&stalled(200), Rule::OneAnswer, "answered after");
 }
 
 #[test]
-fn effects_twice_and_promises_that_cannot_be_kept_are_found() {
-    let mut t = start();
-    t.served(100, 1, KEYED, 5);
-    t.applied(300, 1, 1);
-    only(&t.judge(), Rule::NoEffectTwice, "took effect 2 times");
-    let mut t = start();
-    t.command(100, 1, KEYED, 5);
-    t.attempt(101, 1, 1, 0, KEYED, 5);
-    t.attempt(300, 2, 1, 1, KEYED, 5);
-    t.answer(900, 1, 2);
-    only(&t.judge(), Rule::NoEffectTwice, "outside its group");
-    let mut t = start();
-    t.command(100, 1, KEYED, 5);
-    t.attempt(101, 1, 1, 0, KEYED, 5);
-    t.attempt(700, 1, 1, 1, KEYED, 5);
-    t.answer(900, 1, 2);
-    only(&t.judge(), Rule::NoEffectTwice, "after its first send");
-    let mut t = start();
-    t.command(100, 1, UNSAFE, 5);
-    t.attempt(101, 1, 1, 0, UNSAFE, 5);
-    t.attempt(300, 1, 1, 1, UNSAFE, 5);
-    t.answer(900, 1, 2);
-    only(&t.judge(), Rule::NoEffectTwice, "unsafe");
-    let mut t = start();
-    t.command(100, 1, UNSAFE, 5);
-    t.attempt(101, 1, 1, 0, UNSAFE, 5);
-    t.answer(900, 1, 0x08);
-    only(&t.judge(), Rule::NoEffectTwice, "a promise");
+fn repeated_effects_and_false_refusals_are_found() {
+    let mut recording = new_recording();
+    recording.served(100, 1, KEYED, 5);
+    recording.applied(300, 1, 1);
+    assert_only_violation(&recording.check(), Rule::NoEffectTwice, "was applied 2 times");
+    let mut recording = new_recording();
+    recording.command(100, 1, KEYED, 5);
+    recording.attempt(101, 1, 1, 0, KEYED, 5);
+    recording.attempt(300, 2, 1, 1, KEYED, 5);
+    recording.final_answer(900, 1, 2);
+    assert_only_violation(&recording.check(), Rule::NoEffectTwice, "outside its group");
+    let mut recording = new_recording();
+    recording.command(100, 1, KEYED, 5);
+    recording.attempt(101, 1, 1, 0, KEYED, 5);
+    recording.attempt(700, 1, 1, 1, KEYED, 5);
+    recording.final_answer(900, 1, 2);
+    assert_only_violation(&recording.check(), Rule::NoEffectTwice, "after its first attempt");
+    let mut recording = new_recording();
+    recording.command(100, 1, UNSAFE, 5);
+    recording.attempt(101, 1, 1, 0, UNSAFE, 5);
+    recording.attempt(300, 1, 1, 1, UNSAFE, 5);
+    recording.final_answer(900, 1, 2);
+    assert_only_violation(&recording.check(), Rule::NoEffectTwice, "unsafe");
+    let mut recording = new_recording();
+    recording.command(100, 1, UNSAFE, 5);
+    recording.attempt(101, 1, 1, 0, UNSAFE, 5);
+    recording.final_answer(900, 1, 0x08);
+    assert_only_violation(&recording.check(), Rule::NoEffectTwice, "was refused as not executed");
 }
 
 #[test]
-fn work_to_a_draining_node_past_the_grace_is_found_until_it_is_ready_again() {
-    let told = |ready| TraceEventKind::NodeListed { host: 0, node: 1, ready, started_ms: 0.0 };
-    let mut t = start();
-    t.add(100, told(false));
-    t.served(1200, 1, SAFE, 5);
-    only(&t.judge(), Rule::Drains, "after word");
-    let mut t = start();
-    t.add(100, told(false));
-    t.served(900, 1, SAFE, 5);
-    t.add(1000, told(true));
-    t.served(1200, 2, SAFE, 5);
-    assert!(t.judge().passed());
+fn work_sent_to_a_draining_node_after_the_grace_is_found_until_it_is_ready_again() {
+    let listed = |ready| TraceEventKind::NodeListed { host: 0, node: 1, ready, started_ms: 0.0 };
+    let mut recording = new_recording();
+    recording.add(100, listed(false));
+    recording.served(1200, 1, SAFE, 5);
+    assert_only_violation(&recording.check(), Rule::Drains, "after it was listed as not ready");
+    let mut recording = new_recording();
+    recording.add(100, listed(false));
+    recording.served(900, 1, SAFE, 5);
+    recording.add(1000, listed(true));
+    recording.served(1200, 2, SAFE, 5);
+    assert!(recording.check().passed());
 }
 
 #[test]
-fn too_much_for_a_cold_node_is_found() {
-    let mut t = start();
-    t.add(100, TraceEventKind::NodeStarted { node: 2, shard: 2, zone: 0, cold: true, units_per_s: 10.0 });
+fn overload_of_a_cold_node_is_found() {
+    let mut recording = new_recording();
+    recording
+        .add(100, TraceEventKind::NodeStarted { node: 2, shard: 2, zone: 0, cold: true, units_per_s: 10.0 });
     for n in 0..6 {
-        t.command(200 + n, n as u32 + 1, SAFE, 5);
-        t.attempt(201 + n, 2, n as u32 + 1, 0, SAFE, 5);
-        t.answer(300 + n, n as u32 + 1, 0);
+        recording.command(200 + n, n as u32 + 1, SAFE, 5);
+        recording.attempt(201 + n, 2, n as u32 + 1, 0, SAFE, 5);
+        recording.final_answer(300 + n, n as u32 + 1, 0);
     }
-    only(&t.judge(), Rule::ColdNodes, "got 6 units");
+    assert_only_violation(&recording.check(), Rule::ColdNodes, "got 6 units");
 }
 
 #[test]
-fn ordered_requests_side_by_side_out_of_turn_or_too_soon_after_an_unclear_end_are_found() {
-    let mut t = start();
+fn concurrent_reordered_and_too_early_ordered_requests_are_found() {
+    let mut recording = new_recording();
     for (n, at) in [(1, 100), (2, 110)] {
-        t.command(at, n, UNSAFE, 5);
-        t.attempt(at + 1, 1, n, 0, UNSAFE, 5);
+        recording.command(at, n, UNSAFE, 5);
+        recording.attempt(at + 1, 1, n, 0, UNSAFE, 5);
     }
     for (n, at) in [(1, 400), (2, 410)] {
-        t.applied(at, 1, n);
-        t.ended(at, 1, n, 0, 0);
-        t.answer(at + 1, n, 0);
+        recording.applied(at, 1, n);
+        recording.response(at, 1, n, 0, 0);
+        recording.final_answer(at + 1, n, 0);
     }
-    only(&t.judge(), Rule::Order, "beside");
-    let mut t = start();
-    t.served(100, 2, UNSAFE, 5);
-    t.served(300, 1, UNSAFE, 5);
-    only(&t.judge(), Rule::Order, "after");
-    let mut t = start();
-    t.command(100, 1, UNSAFE, 5);
-    t.attempt(101, 1, 1, 0, UNSAFE, 5);
-    t.add(200, TraceEventKind::Closed { stream: 101 });
-    t.answer(210, 1, 2);
-    t.served(400, 2, UNSAFE, 5);
-    only(&t.judge(), Rule::Order, "beside");
+    assert_only_violation(&recording.check(), Rule::Order, "in flight together with");
+    let mut recording = new_recording();
+    recording.served(100, 2, UNSAFE, 5);
+    recording.served(300, 1, UNSAFE, 5);
+    assert_only_violation(&recording.check(), Rule::Order, "sent after");
+    let mut recording = new_recording();
+    recording.command(100, 1, UNSAFE, 5);
+    recording.attempt(101, 1, 1, 0, UNSAFE, 5);
+    recording.add(200, TraceEventKind::Closed { stream: 101 });
+    recording.final_answer(210, 1, 2);
+    recording.served(400, 2, UNSAFE, 5);
+    assert_only_violation(&recording.check(), Rule::Order, "in flight together with");
 }
 
 #[test]
-fn a_command_noted_after_its_connection_closed_is_waited_for_by_nobody() {
-    let mut t = start();
-    t.add(100, TraceEventKind::Closed { stream: 1 });
-    t.command(101, 1, SAFE, 5);
-    let report = t.judge();
+fn command_recorded_after_its_connection_closed_needs_no_answer() {
+    let mut recording = new_recording();
+    recording.add(100, TraceEventKind::Closed { stream: 1 });
+    recording.command(101, 1, SAFE, 5);
+    let report = recording.check();
     assert!(report.passed(), "{report}");
-    let mut t = start();
-    t.command(101, 1, SAFE, 5);
-    assert!(!t.judge().passed(), "on an open one it is a command without an answer");
+    let mut recording = new_recording();
+    recording.command(101, 1, SAFE, 5);
+    assert!(!recording.check().passed(), "a command on an open connection needs an answer");
 }
 
 #[test]
-fn further_attempts_past_the_budget_are_found() {
-    let mut t = start();
+fn retries_beyond_the_budget_are_found() {
+    let mut recording = new_recording();
     for n in 1..=3 {
         let at = 100 * u64::from(n);
-        t.command(at, n, SAFE, 5);
-        t.attempt(at + 1, 1, n, 0, SAFE, 5);
-        t.ended(at + 2, 1, n, 0, 0x28);
-        t.attempt(at + 60, 1, n, 1, SAFE, 5);
-        t.ended(at + 61, 1, n, 1, 0);
-        t.answer(at + 62, n, 0);
+        recording.command(at, n, SAFE, 5);
+        recording.attempt(at + 1, 1, n, 0, SAFE, 5);
+        recording.response(at + 2, 1, n, 0, 0x28);
+        recording.attempt(at + 60, 1, n, 1, SAFE, 5);
+        recording.response(at + 61, 1, n, 1, 0);
+        recording.final_answer(at + 62, n, 0);
     }
-    only(&t.judge(), Rule::RetryBudget, "2 further attempts");
+    assert_only_violation(&recording.check(), Rule::RetryBudget, "2 retries");
 }
 
 #[test]
-fn units_past_a_limit_are_found() {
-    let mut t = start();
+fn units_beyond_a_limit_are_found() {
+    let mut recording = new_recording();
     for n in 1..=3 {
         let at = 100 * u64::from(n);
-        t.command(at, n, SAFE, 5);
-        t.attempt_of(at + 1, 1, n, 0, SAFE, 5, 9000);
-        t.ended(at + 2, 1, n, 0, 0);
-        t.answer(at + 3, n, 0);
+        recording.command(at, n, SAFE, 5);
+        recording.attempt_with_cost(at + 1, 1, n, 0, SAFE, 5, 9000);
+        recording.response(at + 2, 1, n, 0, 0);
+        recording.final_answer(at + 3, n, 0);
     }
-    only(&t.judge(), Rule::Limits, "its store stands at");
+    assert_only_violation(&recording.check(), Rule::Limits, "token bucket at");
 }
 
 #[test]
-fn two_commands_of_one_name_cannot_be_judged_and_that_is_said() {
-    let mut t = start();
-    t.served(100, 1, SAFE, 5);
-    t.served(300, 1, SAFE, 5);
-    assert!(!t.judge().passed());
+fn two_commands_with_the_same_key_are_a_violation() {
+    let mut recording = new_recording();
+    recording.served(100, 1, SAFE, 5);
+    recording.served(300, 1, SAFE, 5);
+    assert!(!recording.check().passed());
 }
