--- a/crates/stand/src/client.rs
+++ b/crates/stand/src/client.rs
@@ -1,4 +1,4 @@
-//! A stand-in client: an iSCSI initiator that offers load, honours a busy target, and proves what it reads.
+//! A fake client: an iSCSI initiator that generates load, retries after BUSY, and verifies the data it reads.
 
 use crate::recorder::Recorder;
 use hdrhistogram::Histogram;
@@ -15,65 +15,66 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a client does.
+/// The load that a client generates.
 #[derive(Clone, Debug)]
 pub struct FakeClientSpec {
-    /// Its name, and the seed of its draws.
+    /// Name of the client, part of its initiator name.
     pub name: String,
-    /// Seed.
+    /// Seed of the random number generator. It is also part of the ISID and of the block contents.
     pub seed: u64,
-    /// The host and its address.
+    /// Number and address of the host.
     pub host: (u16, SocketAddr),
-    /// Where its volume is found.
+    /// Target name of the volume.
     pub target: String,
-    /// Unit number there.
+    /// Logical unit number of the volume.
     pub lun: u16,
-    /// Bytes in a block.
+    /// Block size of the volume in bytes.
     pub block_bytes: u32,
-    /// The blocks that are this client's alone: first, count.
+    /// First block and number of blocks of the region that only this client uses.
     pub region: (u64, u64),
-    /// Requests a second, drawn like a Poisson stream.
+    /// Mean number of requests per second. The arrivals are a Poisson process.
     pub rate: f64,
-    /// Part of them that writes.
+    /// Fraction of the requests that are writes.
     pub write_fraction: f64,
-    /// Part that compares and writes.
+    /// Fraction of the requests that are COMPARE AND WRITE.
     pub compare_and_write_fraction: f64,
-    /// Part that flushes.
+    /// Fraction of the requests that are flushes.
     pub flush_fraction: f64,
-    /// Blocks of a small request, and of a large read.
+    /// Number of blocks of a small request.
     pub small_blocks: u32,
-    /// Blocks of a large read.
+    /// Number of blocks of a large read.
     pub large_blocks: u32,
-    /// Part of the reads that is large.
+    /// Fraction of the reads that are large.
     pub large_read_fraction: f64,
-    /// Part of the requests that it aborts soon after sending.
+    /// Fraction of the requests that the client aborts right after sending.
     pub abort_fraction: f64,
-    /// How often a refused request comes again after the stated wait.
+    /// How often the client retries a refused request, each time after the delay that the host stated.
     pub max_retries: u32,
 }
 
-/// What became of its requests.
+/// Counts of a client's requests by outcome.
 #[derive(Clone, Debug)]
 pub struct FakeClientStats {
-    /// Sent, tries after a refusal included.
+    /// Requests sent, including retries after a refusal.
     pub sent: u64,
-    /// Answered with GOOD.
+    /// Requests answered with GOOD.
     pub served: u64,
-    /// Answered with BUSY or TASK SET FULL.
+    /// Requests answered with BUSY or TASK SET FULL.
     pub refused: u64,
-    /// Answered with CHECK CONDITION.
+    /// Requests answered with CHECK CONDITION, except miscompares.
     pub failed: u64,
-    /// Comparisons that did not hold, which is an answer too.
+    /// COMPARE AND WRITE requests whose comparison failed, which is a valid final answer.
     pub miscompared: u64,
-    /// Aborted or lost with a connection.
+    /// Requests aborted or lost with a connection.
     pub abandoned: u64,
-    /// Not sent, because the session's window was closed or the session gone.
+    /// Requests not sent because the command window was closed or the session had ended.
     pub not_sent: u64,
-    /// Blocks read that were neither the last one acknowledged nor one whose fate was unknown, in words.
+    /// A message for each block read that held neither the last acknowledged write nor a write with an
+    /// unknown outcome; 20 at most.
     pub stale: Vec<String>,
-    /// Blocks proved.
+    /// Blocks read whose contents were as expected.
     pub verified_blocks: u64,
-    /// Times of served requests, microseconds.
+    /// Latency of served requests, microseconds.
     pub latency_us: Histogram<u64>,
 }
 
@@ -94,56 +95,59 @@
     }
 }
 
-/// What a client knows of a block of its own.
+/// The expected contents of a block.
 #[derive(Clone, Debug, Default)]
 struct Block {
-    /// The stamp last acknowledged.
+    /// Stamp of the last acknowledged write.
     acknowledged: u64,
-    /// Stamps of writes whose fate is unknown: each may show, early or late.
-    unknown: Vec<u64>,
-    busy: bool,
+    /// Stamps of writes with an unknown outcome. Each may have been applied, or may still be.
+    unknown_outcome: Vec<u64>,
+    /// Whether a request to the block is in flight.
+    in_use: bool,
 }
 
+/// A request of the client.
 #[derive(Clone, Debug)]
-struct Ask {
+struct Request {
     media: MediaCommand,
     stamp: u64,
     began: Instant,
-    tries_left: u32,
+    retries_left: u32,
 }
 
-impl CommandToken for Ask {}
+impl CommandToken for Request {}
 
 #[derive(Default)]
 struct State {
     blocks: HashMap<u64, Block>,
     stats: FakeClientStats,
-    /// Refused requests and when they may come again.
-    again: Vec<(Instant, Ask)>,
+    /// Refused requests and when they may be retried.
+    retries: Vec<(Instant, Request)>,
 }
 
 struct Inner {
     spec: FakeClientSpec,
     recorder: Recorder,
     state: Mutex<State>,
-    connection: Mutex<Option<Arc<Connection<Ask>>>>,
+    connection: Mutex<Option<Arc<Connection<Request>>>>,
     stopped: AtomicBool,
-    /// Factor on the rate, thousandths.
-    surge: AtomicU64,
-    stamp: AtomicU64,
+    /// Factor on the rate, in thousandths.
+    rate_multiplier: AtomicU64,
+    /// Stamp of the next request.
+    next_stamp: AtomicU64,
 }
 
-/// A running client.
+/// A running client with its own thread.
 pub struct FakeClient {
     inner: Arc<Inner>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl FakeClient {
-    /// Begins to offer load.
+    /// Starts to generate load.
     ///
     /// # Errors
-    /// No thread could be had.
+    /// The thread could not be started.
     pub fn start(spec: FakeClientSpec, recorder: Recorder) -> io::Result<FakeClient> {
         let inner = Arc::new(Inner {
             spec,
@@ -151,38 +155,38 @@
             state: Mutex::default(),
             connection: Mutex::new(None),
             stopped: AtomicBool::new(false),
-            surge: AtomicU64::new(1_000),
-            stamp: AtomicU64::new(1),
+            rate_multiplier: AtomicU64::new(1_000),
+            next_stamp: AtomicU64::new(1),
         });
         let running = inner.clone();
         let thread = spawn_small_stack("client", move || running.run())?;
         Ok(FakeClient { inner, thread: Some(thread) })
     }
 
-    /// Offers so many times its rate from now on.
-    pub fn set_rate_multiplier(&self, times: f64) {
-        self.inner.surge.store((times.max(0.0) * 1_000.0) as u64, Ordering::SeqCst);
+    /// Multiplies the configured rate by a factor from now on.
+    pub fn set_rate_multiplier(&self, factor: f64) {
+        self.inner.rate_multiplier.store((factor.max(0.0) * 1_000.0) as u64, Ordering::SeqCst);
     }
 
-    /// Drops its connection with whatever is under way, and logs in again.
+    /// Closes the connection, which abandons the requests in flight. The client then logs in again.
     pub fn reconnect(&self) {
         if let Some(c) = &*lock(&self.inner.connection) {
             c.close();
         }
     }
 
-    /// So far.
+    /// The counts up to now.
     pub fn stats(&self) -> FakeClientStats {
         lock(&self.inner.state).stats.clone()
     }
 
-    /// Sends nothing more, waits for what is out, `within` at the most, and logs out.
-    pub fn finish(mut self, within: Duration) -> FakeClientStats {
+    /// Stops sending, waits for requests in flight for at most `timeout`, logs out and returns the counts.
+    pub fn finish(mut self, timeout: Duration) -> FakeClientStats {
         self.inner.stopped.store(true, Ordering::SeqCst);
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
-        let until = Instant::now() + within;
+        let until = Instant::now() + timeout;
         let connection = lock(&self.inner.connection).clone();
         if let Some(c) = connection {
             while c.outstanding() > 0 && Instant::now() < until {
@@ -207,38 +211,40 @@
 
 impl Inner {
     fn run(self: Arc<Self>) {
-        let mut draws = Pcg64Mcg::new(u128::from(self.spec.seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(self.spec.seed) << 1 | 1);
         let mut next = Instant::now();
         while !self.stopped.load(Ordering::SeqCst) {
-            let Some(connection) = self.connected() else {
+            let Some(connection) = self.open_connection() else {
                 std::thread::sleep(Duration::from_millis(50));
                 next = Instant::now();
                 continue;
             };
-            let due: Vec<Ask> = {
+            let due: Vec<Request> = {
                 let mut state = lock(&self.state);
                 let now = Instant::now();
                 let (due, later) =
-                    std::mem::take(&mut state.again).into_iter().partition(|(at, _)| *at <= now);
-                state.again = later;
+                    std::mem::take(&mut state.retries).into_iter().partition(|(at, _)| *at <= now);
+                state.retries = later;
                 due
             }
             .into_iter()
             .map(|(_, a)| a)
             .collect();
-            due.into_iter().for_each(|ask| self.send(&connection, ask));
+            due.into_iter().for_each(|request| self.send(&connection, request));
             while next <= Instant::now() {
-                let surge = self.surge.load(Ordering::SeqCst) as f64 / 1_000.0;
-                let gap = -(1.0 - draw(&mut draws)).ln() / (self.spec.rate * surge).max(0.001);
+                let rate_multiplier = self.rate_multiplier.load(Ordering::SeqCst) as f64 / 1_000.0;
+                let gap = -(1.0 - random_unit(&mut rng)).ln() / (self.spec.rate * rate_multiplier).max(0.001);
                 next += Duration::from_secs_f64(gap.min(1.0));
-                // A surge is seen within a second: a longer gap is drawn anew then, which changes nothing in its length.
+                // A gap of more than a second is cut to one second and drawn again then, so that a change of
+                // the rate takes effect within a second. The distribution of the arrivals does not change, as
+                // the gaps are memoryless.
                 if gap > 1.0 {
                     continue;
                 }
-                if let Some(ask) = self.draw_ask(&mut draws) {
-                    self.send(&connection, ask);
-                    if draw(&mut draws) < self.spec.abort_fraction {
-                        connection.abort(|a: &Ask| a.stamp == self.stamp.load(Ordering::SeqCst) - 1);
+                if let Some(request) = self.draw_request(&mut rng) {
+                    self.send(&connection, request);
+                    if random_unit(&mut rng) < self.spec.abort_fraction {
+                        connection.abort(|a: &Request| a.stamp == self.next_stamp.load(Ordering::SeqCst) - 1);
                     }
                 }
             }
@@ -246,9 +252,9 @@
         }
     }
 
-    fn connected(self: &Arc<Self>) -> Option<Arc<Connection<Ask>>> {
-        let mut held = lock(&self.connection);
-        if let Some(c) = held.as_ref().filter(|c| c.is_open()) {
+    fn open_connection(self: &Arc<Self>) -> Option<Arc<Connection<Request>>> {
+        let mut current = lock(&self.connection);
+        if let Some(c) = current.as_ref().filter(|c| c.is_open()) {
             return Some(c.clone());
         }
         let spec = &self.spec;
@@ -262,8 +268,8 @@
             extension: false,
         };
         let tap = self.recorder.tap(Endpoint::Client { host: spec.host.0 }, |_, _, _| {});
-        let own = self.clone();
-        let events = move |event| own.on_event(event);
+        let handler = self.clone();
+        let events = move |event| handler.on_event(event);
         let opened = Connection::open(
             spec.host.1,
             config,
@@ -271,44 +277,46 @@
             StreamTap(tap.map(|t| (t, 0))),
             events,
         );
-        *held = opened.inspect_err(|e| tracing::debug!(client = spec.name, error = %e, "no login")).ok();
-        held.clone()
+        *current =
+            opened.inspect_err(|e| tracing::debug!(client = spec.name, error = %e, "login failed")).ok();
+        current.clone()
     }
 
-    fn draw_ask(&self, draws: &mut Pcg64Mcg) -> Option<Ask> {
+    fn draw_request(&self, rng: &mut Pcg64Mcg) -> Option<Request> {
         let spec = &self.spec;
-        let kind = draw(draws);
-        let (op, blocks) = if kind < spec.write_fraction {
+        let choice = random_unit(rng);
+        let (op, blocks) = if choice < spec.write_fraction {
             (MediaOp::Write, spec.small_blocks)
-        } else if kind < spec.write_fraction + spec.compare_and_write_fraction {
+        } else if choice < spec.write_fraction + spec.compare_and_write_fraction {
             (MediaOp::CompareAndWrite, 1)
-        } else if kind < spec.write_fraction + spec.compare_and_write_fraction + spec.flush_fraction {
+        } else if choice < spec.write_fraction + spec.compare_and_write_fraction + spec.flush_fraction {
             (MediaOp::Flush, spec.small_blocks)
-        } else if draw(draws) < spec.large_read_fraction {
+        } else if random_unit(rng) < spec.large_read_fraction {
             (MediaOp::Read, spec.large_blocks)
         } else {
             (MediaOp::Read, spec.small_blocks)
         };
         let blocks = blocks.min(spec.region.1 as u32);
-        // Three of four requests go to an eighth of the region, each client's at a place of its own. Danger: were it the first
-        // eighth of all, regions of a round size would heat one node alone, and a calm day would be a burning one there.
+        // Three of four requests go to a hot eighth of the region, which begins at a different offset for
+        // each client. If it were the first eighth everywhere, the hot parts of regions with a round size
+        // would all fall on one node and overload it in a scenario without faults.
         let span = spec.region.1 - u64::from(blocks) + 1;
         let hot = (span / 8).max(1);
-        let place = spec.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
-        let (from, span) = if draw(draws) < 0.75 { (place % (span - hot + 1), hot) } else { (0, span) };
-        let lba = spec.region.0 + from + (draw(draws) * span as f64) as u64;
+        let offset = spec.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
+        let (from, span) = if random_unit(rng) < 0.75 { (offset % (span - hot + 1), hot) } else { (0, span) };
+        let lba = spec.region.0 + from + (random_unit(rng) * span as f64) as u64;
         let mut state = lock(&self.state);
-        // One request at a time on a block: otherwise nobody could say what it should hold.
-        if (lba..lba + u64::from(blocks)).any(|b| state.blocks.get(&b).is_some_and(|b| b.busy)) {
+        // One request at a time per block, so that its expected contents are known.
+        if (lba..lba + u64::from(blocks)).any(|b| state.blocks.get(&b).is_some_and(|b| b.in_use)) {
             return None;
         }
-        (lba..lba + u64::from(blocks)).for_each(|b| state.blocks.entry(b).or_default().busy = true);
-        let stamp = self.stamp.fetch_add(1, Ordering::SeqCst);
+        (lba..lba + u64::from(blocks)).for_each(|b| state.blocks.entry(b).or_default().in_use = true);
+        let stamp = self.next_stamp.fetch_add(1, Ordering::SeqCst);
         let media = MediaCommand { op, lba, blocks, fua: false, group: 0 };
-        Some(Ask { media, stamp, began: Instant::now(), tries_left: spec.max_retries })
+        Some(Request { media, stamp, began: Instant::now(), retries_left: spec.max_retries })
     }
 
-    fn stamped(&self, lba: u64, stamp: u64) -> Vec<u8> {
+    fn block_with_stamp(&self, lba: u64, stamp: u64) -> Vec<u8> {
         let mut block = vec![0; self.spec.block_bytes as usize];
         if stamp > 0 {
             block[..8].copy_from_slice(&stamp.to_be_bytes());
@@ -318,16 +326,18 @@
         block
     }
 
-    fn send(&self, connection: &Connection<Ask>, ask: Ask) {
-        let m = ask.media;
+    fn send(&self, connection: &Connection<Request>, request: Request) {
+        let m = request.media;
         let data: Payload = match m.op {
             MediaOp::Write => {
-                let all = m.lba..m.lba + u64::from(m.blocks);
-                all.flat_map(|b| self.stamped(b, ask.stamp)).collect::<Vec<u8>>().into()
+                let lbas = m.lba..m.lba + u64::from(m.blocks);
+                lbas.flat_map(|b| self.block_with_stamp(b, request.stamp)).collect::<Vec<u8>>().into()
             }
             MediaOp::CompareAndWrite => {
-                let now = lock(&self.state).blocks.get(&m.lba).map_or(0, |b| b.acknowledged);
-                [self.stamped(m.lba, now), self.stamped(m.lba, ask.stamp)].concat().into()
+                let expected = lock(&self.state).blocks.get(&m.lba).map_or(0, |b| b.acknowledged);
+                [self.block_with_stamp(m.lba, expected), self.block_with_stamp(m.lba, request.stamp)]
+                    .concat()
+                    .into()
             }
             _ => Payload::new(),
         };
@@ -339,22 +349,22 @@
             metadata: None,
         };
         lock(&self.state).stats.sent += 1;
-        if let Err(ask) = connection.submit(ask, command) {
+        if let Err(request) = connection.submit(request, command) {
             let mut state = lock(&self.state);
             state.stats.sent -= 1;
             state.stats.not_sent += 1;
-            state.release(&ask.media);
+            state.release(&request.media);
         }
     }
 
-    fn on_event(&self, event: ConnectionEvent<Ask>) {
+    fn on_event(&self, event: ConnectionEvent<Request>) {
         match event {
-            ConnectionEvent::Completed(ask, done) => self.done(ask, &done),
-            ConnectionEvent::Aborted(ask) => lock(&self.state).lost(&ask),
+            ConnectionEvent::Completed(request, done) => self.on_completion(request, &done),
+            ConnectionEvent::Aborted(request) => lock(&self.state).abandon(&request),
             ConnectionEvent::LogoutRequested => {}
             ConnectionEvent::Closed(_, sent, unsent) => {
                 let mut state = lock(&self.state);
-                sent.iter().for_each(|a| state.lost(a));
+                sent.iter().for_each(|a| state.abandon(a));
                 state.stats.not_sent += unsent.len() as u64;
                 state.stats.sent -= unsent.len() as u64;
                 unsent.iter().for_each(|a| state.release(&a.media));
@@ -362,57 +372,57 @@
         }
     }
 
-    fn done(&self, mut ask: Ask, done: &CommandCompletion) {
+    fn on_completion(&self, mut request: Request, done: &CommandCompletion) {
         let mut state = lock(&self.state);
         match done.status {
             status::GOOD => {
                 state.stats.served += 1;
-                let us = ask.began.elapsed().as_micros() as u64;
+                let us = request.began.elapsed().as_micros() as u64;
                 state.stats.latency_us.saturating_record(us.max(1));
-                match ask.media.op {
-                    MediaOp::Write | MediaOp::CompareAndWrite => state.written(&ask),
-                    MediaOp::Read => self.prove(&mut state, &ask, &done.data.to_bytes()),
+                match request.media.op {
+                    MediaOp::Write | MediaOp::CompareAndWrite => state.acknowledge(&request),
+                    MediaOp::Read => self.verify(&mut state, &request, &done.data.to_bytes()),
                     _ => {}
                 }
-                state.release(&ask.media);
+                state.release(&request.media);
             }
             status::BUSY | status::TASK_SET_FULL => {
                 state.stats.refused += 1;
-                if ask.tries_left > 0 && !self.stopped.load(Ordering::SeqCst) {
-                    ask.tries_left -= 1;
+                if request.retries_left > 0 && !self.stopped.load(Ordering::SeqCst) {
+                    request.retries_left -= 1;
                     let wait = Duration::from_millis(100 * u64::from(done.qualifier.max(1)));
-                    state.again.push((Instant::now() + wait, ask));
+                    state.retries.push((Instant::now() + wait, request));
                 } else {
-                    state.release(&ask.media);
+                    state.release(&request.media);
                 }
             }
-            _ if ask.media.op == MediaOp::CompareAndWrite
+            _ if request.media.op == MediaOp::CompareAndWrite
                 && pearfork_scsi::Sense::key_and_code(&done.sense).is_some_and(|(k, _)| k == 0x0e) =>
             {
                 state.stats.miscompared += 1;
-                state.release(&ask.media);
+                state.release(&request.media);
             }
             _ => {
                 state.stats.failed += 1;
-                state.unsure(&ask);
-                state.release(&ask.media);
+                state.mark_outcome_unknown(&request);
+                state.release(&request.media);
             }
         }
     }
 
-    /// Each block must hold the stamp last acknowledged, or one whose fate was never told.
-    fn prove(&self, state: &mut State, ask: &Ask, data: &[u8]) {
+    /// Verifies that each block holds the last acknowledged stamp or one with an unknown outcome.
+    fn verify(&self, state: &mut State, request: &Request, data: &[u8]) {
         for (i, got) in data.chunks_exact(self.spec.block_bytes as usize).enumerate() {
-            let lba = ask.media.lba + i as u64;
+            let lba = request.media.lba + i as u64;
             let known = state.blocks.get(&lba).cloned().unwrap_or_default();
             let stamp = got.iter().take(8).fold(0u64, |n, b| n << 8 | u64::from(*b));
-            let right = stamp == known.acknowledged || known.unknown.contains(&stamp);
-            if right && got == self.stamped(lba, stamp) {
+            let is_expected = stamp == known.acknowledged || known.unknown_outcome.contains(&stamp);
+            if is_expected && got == self.block_with_stamp(lba, stamp) {
                 state.stats.verified_blocks += 1;
             } else if state.stats.stale.len() < 20 {
-                let words =
+                let message =
                     format!("block {lba} holds stamp {stamp}, last acknowledged {}", known.acknowledged);
-                state.stats.stale.push(words);
+                state.stats.stale.push(message);
             }
         }
     }
@@ -421,32 +431,32 @@
 impl State {
     fn release(&mut self, media: &MediaCommand) {
         for b in media.lba..media.lba + u64::from(media.blocks) {
-            self.blocks.entry(b).or_default().busy = false;
+            self.blocks.entry(b).or_default().in_use = false;
         }
     }
 
-    fn written(&mut self, ask: &Ask) {
-        for b in ask.media.lba..ask.media.lba + u64::from(ask.media.blocks) {
-            self.blocks.entry(b).or_default().acknowledged = ask.stamp;
+    fn acknowledge(&mut self, request: &Request) {
+        for b in request.media.lba..request.media.lba + u64::from(request.media.blocks) {
+            self.blocks.entry(b).or_default().acknowledged = request.stamp;
         }
     }
 
-    fn unsure(&mut self, ask: &Ask) {
-        if ask.media.is_write() {
-            for b in ask.media.lba..ask.media.lba + u64::from(ask.media.blocks) {
-                self.blocks.entry(b).or_default().unknown.push(ask.stamp);
+    fn mark_outcome_unknown(&mut self, request: &Request) {
+        if request.media.is_write() {
+            for b in request.media.lba..request.media.lba + u64::from(request.media.blocks) {
+                self.blocks.entry(b).or_default().unknown_outcome.push(request.stamp);
             }
         }
     }
 
-    fn lost(&mut self, ask: &Ask) {
+    fn abandon(&mut self, request: &Request) {
         self.stats.abandoned += 1;
-        self.unsure(ask);
-        self.release(&ask.media);
+        self.mark_outcome_unknown(request);
+        self.release(&request.media);
     }
 }
 
-/// A number in [0, 1).
-fn draw(draws: &mut Pcg64Mcg) -> f64 {
-    (draws.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+/// Returns a uniform random number in [0, 1).
+fn random_unit(rng: &mut Pcg64Mcg) -> f64 {
+    (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/stand/src/cluster.rs
+++ b/crates/stand/src/cluster.rs
@@ -1,33 +1,34 @@
-//! Stand-in nodes with their racks and directory: what a day, a test or an embedded default needs.
+//! A set of fake nodes with their directory, for scenarios, tests and the gateway's embedded nodes.
 
-use crate::{FakeDirectory, FakeNode, FakeNodeSpec, NodeFault, Rack, Recorder, ShardStore};
+use crate::{FakeDirectory, FakeNode, FakeNodeSpec, NodeFault, RackKeyCache, Recorder, ShardStore};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What all nodes of a fleet are like.
+/// The properties that all nodes of a cluster have in common.
 #[derive(Clone, Debug)]
 pub struct FakeClusterSpec {
-    /// How many.
+    /// Number of nodes.
     pub node_count: u16,
-    /// Racks over which the shards are dealt out.
+    /// Number of racks. Shards are assigned to them in turn, and a node's zone is its rack.
     pub racks: u16,
-    /// Nodes that hold the same shard: they reach the same blocks and share a rack's memory of keys.
+    /// Number of nodes that hold each shard. They share its blocks and the key cache of its rack.
     pub replicas: u16,
-    /// Cores of each.
+    /// Cores of each node.
     pub cores: u16,
-    /// Requests that wait at each.
+    /// Maximum number of queued requests at each node.
     pub queue_capacity: u16,
-    /// Work of one unit.
+    /// Time that one warm core takes for one unit.
     pub unit_work: Duration,
-    /// Part of a write's work that is put off.
+    /// Fraction of a write's work that is deferred to a flush.
     pub deferred_fraction: f64,
-    /// How long a rack drops repeats.
+    /// How long the nodes of a rack discard repeated writes.
     pub repeat_window: Duration,
 }
 
-/// Four nodes of two cores in two racks, each with a shard of its own, quick and with nothing put off.
+/// Four nodes with two cores each in two racks. Each has its own shard, takes 1 ms for a unit and defers no
+/// work.
 impl Default for FakeClusterSpec {
     fn default() -> Self {
         FakeClusterSpec {
@@ -43,29 +44,32 @@
     }
 }
 
-/// Nodes and the directory that lists them.
+/// Fake nodes and the directory that lists them.
 pub struct FakeCluster {
     nodes: Vec<FakeNode>,
     directory: FakeDirectory,
-    late: Duration,
+    listing_delay: Duration,
 }
 
 impl FakeCluster {
-    /// Starts all nodes, warm, with the cold figures that the hosts are told, and a directory that lists them at once and later changes `late`.
+    /// Starts warm nodes and a directory that lists them at once.
+    ///
+    /// The nodes have the cold-start parameters that `scheduler_settings` give to the hosts. The directory
+    /// lists later changes after `listing_delay`.
     ///
     /// # Errors
-    /// No address or thread could be had.
+    /// No address was available or a thread could not be started.
     pub fn start(
         spec: &FakeClusterSpec,
-        told: &pearfork::Settings,
+        scheduler_settings: &pearfork::Settings,
         directory: SocketAddr,
-        late: Duration,
+        listing_delay: Duration,
         recorder: &Recorder,
     ) -> io::Result<FakeCluster> {
         let directory = FakeDirectory::start(directory, recorder.clone())?;
-        let racks: Vec<Arc<Rack>> =
-            (0..spec.racks.max(1)).map(|_| Arc::new(Rack::new(spec.repeat_window))).collect();
-        let m = told;
+        let racks: Vec<Arc<RackKeyCache>> =
+            (0..spec.racks.max(1)).map(|_| Arc::new(RackKeyCache::new(spec.repeat_window))).collect();
+        let settings = scheduler_settings;
         let mut nodes = Vec::new();
         let shards = (spec.node_count / spec.replicas.max(1)).max(1);
         let stores: Vec<Arc<ShardStore>> = (0..shards).map(|_| Arc::default()).collect();
@@ -80,31 +84,31 @@
                 queue_capacity: spec.queue_capacity,
                 unit_work: spec.unit_work,
                 deferred_fraction: spec.deferred_fraction,
-                cold_from: m.cold_from,
-                warm_after: Duration::from_secs_f64(m.warm_after_ms / 1_000.0),
-                fall_multiple: m.fall_multiple,
-                fall: Duration::from_secs_f64(m.fall_ms / 1_000.0),
-                cold_units: m.cold_units,
+                cold_from: settings.cold_from,
+                warm_after: Duration::from_secs_f64(settings.warm_after_ms / 1_000.0),
+                fall_multiple: settings.fall_multiple,
+                fall: Duration::from_secs_f64(settings.fall_ms / 1_000.0),
+                cold_units: settings.cold_units,
                 ..FakeNodeSpec::default()
             };
             let rack = racks[usize::from(zone)].clone();
             nodes.push(FakeNode::start(spec, stores[usize::from(shard)].clone(), rack, recorder.clone())?);
         }
-        let fleet = FakeCluster { nodes, directory, late };
-        for n in &fleet.nodes {
-            fleet.list(n, "ready", Duration::ZERO);
+        let cluster = FakeCluster { nodes, directory, listing_delay };
+        for n in &cluster.nodes {
+            cluster.list(n, "ready", Duration::ZERO);
         }
-        Ok(fleet)
+        Ok(cluster)
     }
 
-    fn list(&self, node: &FakeNode, state: &'static str, late: Duration) {
+    fn list(&self, node: &FakeNode, state: &'static str, delay: Duration) {
         let s = node.spec();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-        let (address, started_ms) = node.address().unwrap_or((nowhere, 0.0));
-        self.directory.set((s.id, s.shard, s.zone), state, started_ms, address, late);
+        let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+        let (address, started_ms) = node.address().unwrap_or((unused, 0.0));
+        self.directory.set((s.id, s.shard, s.zone), state, started_ms, address, delay);
     }
 
-    /// A node by its id, from 1.
+    /// The node with this id. Ids begin at 1; a larger id than that of the last node returns the last node.
     pub fn node(&self, id: u32) -> &FakeNode {
         &self.nodes[(id as usize).saturating_sub(1).min(self.nodes.len() - 1)]
     }
@@ -119,28 +123,29 @@
         &self.directory
     }
 
-    /// The node's process dies; the directory learns of it.
+    /// Kills the node's process, and the directory lists it as gone.
     pub fn kill_node(&self, id: u32) {
         let node = self.node(id);
-        self.list(node, "gone", self.late);
+        self.list(node, "gone", self.listing_delay);
         node.kill();
     }
 
-    /// The node begins to drain: it asks its peers to leave, and the directory lists it so.
+    /// Begins to drain the node: it requests a logout of its sessions, and the directory lists it as
+    /// draining.
     pub fn drain_node(&self, id: u32) {
         let node = self.node(id);
         node.set_fault(NodeFault::RequestLogout);
-        self.list(node, "draining", self.late);
+        self.list(node, "draining", self.listing_delay);
     }
 
-    /// The node starts again, cold, and is listed.
+    /// Restarts the node cold, and the directory lists it as ready.
     ///
     /// # Errors
-    /// No address or thread could be had.
+    /// No address was available or a thread could not be started.
     pub fn restart_node(&self, id: u32) -> io::Result<()> {
         let node = self.node(id);
         node.restart()?;
-        self.list(node, "ready", self.late);
+        self.list(node, "ready", self.listing_delay);
         Ok(())
     }
 }
--- a/crates/stand/src/lib.rs
+++ b/crates/stand/src/lib.rs
@@ -1,5 +1,7 @@
-//! Stand-ins for what surrounds a host: storage nodes, the directory that lists them, and clients. All on
-//! loopback, all scripted, each noting the bytes of its sockets for [`pearfork_rulecheck`].
+//! Fakes of the systems around a host: storage nodes, the directory that lists them, and clients.
+//!
+//! They run on loopback under the control of a scenario. A [`Recorder`] records the traffic on their sockets
+//! for [`pearfork_rulecheck`].
 
 mod client;
 mod cluster;
@@ -13,4 +15,4 @@
 pub use directory::FakeDirectory;
 pub use node::{FakeNode, FakeNodeSpec, NodeFault};
 pub use recorder::Recorder;
-pub use store::{Rack, ShardStore};
+pub use store::{RackKeyCache, ShardStore};
--- a/crates/stand/src/node.rs
+++ b/crates/stand/src/node.rs
@@ -1,7 +1,7 @@
-//! A stand-in storage node: an iSCSI target with cores, a waiting room, a cold start, and faults.
+//! A fake storage node: an iSCSI target with cores, a bounded queue, slow start and injected faults.
 
 use crate::recorder::Recorder;
-use crate::store::{Rack, ShardStore};
+use crate::store::{RackKeyCache, ShardStore};
 use pearfork_iscsi::node_extension::{IdempotencyKey, LoadReport};
 use pearfork_iscsi::{AccessControl, Limits, LoginStatus, Payload, Response, ScsiCommand, TaskTag};
 use pearfork_net::{lock, spawn_small_stack, Portal, PortalConfig, Session, SessionHandler, SessionId};
@@ -15,34 +15,34 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What a node is like.
+/// The properties of a node.
 #[derive(Clone, Debug)]
 pub struct FakeNodeSpec {
-    /// Its id, the same after a restart.
+    /// Node id, the same after a restart.
     pub id: u32,
-    /// The shard that it holds.
+    /// Shard that the node holds.
     pub shard: u16,
-    /// Its zone: the rack whose memory it shares is given apart.
+    /// Zone of the node.
     pub zone: u16,
-    /// Cores; each works on one request at a time.
+    /// Number of cores. Each executes one request at a time.
     pub cores: u16,
-    /// Requests that wait at the most.
+    /// Maximum number of queued requests.
     pub queue_capacity: u16,
-    /// Work of one unit on one warm core.
+    /// Time that one warm core takes for one unit.
     pub unit_work: Duration,
-    /// Part of a write's work that is put off.
+    /// Fraction of a write's work that is deferred to a flush.
     pub deferred_fraction: f64,
-    /// How often what was put off is done in one go.
-    pub flush_every: Duration,
-    /// Part of its capacity with which it starts.
+    /// Interval after which one core does all deferred work at once.
+    pub flush_interval: Duration,
+    /// Fraction of the capacity that is available at a cold start.
     pub cold_from: f64,
-    /// When it is warm after a start.
+    /// Time from a cold start until the full capacity is available.
     pub warm_after: Duration,
-    /// It falls over when sent more than this multiple of its present capacity ...
+    /// A cold node crashes when it is sent more than this multiple of its present capacity ...
     pub fall_multiple: f64,
     /// ... over this span ...
     pub fall: Duration,
-    /// ... and more than so many units.
+    /// ... and more than this number of units.
     pub cold_units: f64,
 }
 
@@ -56,7 +56,7 @@
             queue_capacity: 64,
             unit_work: Duration::from_micros(400),
             deferred_fraction: 0.3,
-            flush_every: Duration::from_millis(1_500),
+            flush_interval: Duration::from_millis(1_500),
             cold_from: 0.2,
             warm_after: Duration::from_secs(10),
             fall_multiple: 4.0,
@@ -66,28 +66,29 @@
     }
 }
 
-/// A trouble that a script switches.
+/// A fault that a scenario injects. A `bool` turns the fault on or off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeFault {
-    /// Takes work and answers nothing, or does so no longer.
+    /// Accepts requests and does not respond.
     Hang(bool),
-    /// Works so many times slower; 1 as usual.
+    /// Takes this many times as long for its work; 1 is the normal speed.
     Slow(f64),
-    /// Drops all its connections once.
+    /// Closes all connections once.
     Reset,
-    /// Drops the connection between an R2T and the data that it asks for.
+    /// Closes a connection after sending an R2T, before the requested data is received.
     ResetAtR2t(bool),
-    /// Closes its listener; connections stay.
+    /// Stops accepting connections. Established ones stay.
     RefuseConnections,
-    /// Turns all new work away as full.
+    /// Rejects all new requests as if the queue were full.
     RejectRequests(bool),
-    /// Forgets to drop repeats.
+    /// Applies repeated writes although their keys were seen before.
     ForgetKeys(bool),
-    /// Acknowledges writes and keeps none: a fault that only who proves what he reads can find.
+    /// Acknowledges writes without storing them. Only a client that verifies the data it reads can detect
+    /// this.
     LoseWrites(bool),
-    /// Stands still for a while: nothing moves, then all goes on.
+    /// Pauses all work for a time and then continues.
     Pause(Duration),
-    /// Asks its peers to leave, as a node that drains does.
+    /// Requests a logout of all sessions, as a draining node does.
     RequestLogout,
 }
 
@@ -102,57 +103,62 @@
 #[derive(Default)]
 struct Queue {
     jobs: VecDeque<Job>,
+    /// Number of cores that execute a request.
     busy: usize,
-    /// Work put off, to be done in one go.
-    debt: Duration,
-    debt_due: Option<Instant>,
-    /// What came of late, for the fall of a cold node.
-    came: VecDeque<(Instant, f64)>,
+    /// Deferred work that the next flush does at once.
+    deferred_work: Duration,
+    flush_due: Option<Instant>,
+    /// Recent requests and their units, from which an overload of a cold node is detected.
+    recent_arrivals: VecDeque<(Instant, f64)>,
+    /// Moving average of the service time, microseconds.
     service_us: f64,
-    /// Units served by volume, in all and when each host was last told.
-    used: HashMap<u32, f64>,
-    told: HashMap<(u32, u16), f64>,
+    /// Units served, by volume.
+    units_served: HashMap<u32, f64>,
+    /// Units served at the last load report, by volume and host.
+    units_reported: HashMap<(u32, u16), f64>,
 }
 
+/// The faults that are injected, and whether the process was stopped.
 #[derive(Default)]
-struct Switches {
-    hung: AtomicBool,
-    turns_away: AtomicBool,
-    forgets: AtomicBool,
+struct FaultState {
+    hangs: AtomicBool,
+    rejects: AtomicBool,
+    forgets_keys: AtomicBool,
     loses_writes: AtomicBool,
     resets_at_r2t: AtomicBool,
-    /// Thousandths.
-    slow: AtomicU32,
+    /// Factor on the time for work, in thousandths.
+    slowdown: AtomicU32,
     stopped: AtomicBool,
-    still_until: Mutex<Option<Instant>>,
+    paused_until: Mutex<Option<Instant>>,
 }
 
-/// One process of a node, from its start to its end.
-struct Life {
+/// The process of a node, from a start to the next crash or kill.
+struct NodeProcess {
     spec: FakeNodeSpec,
     recorder: Recorder,
     store: Arc<ShardStore>,
-    rack: Arc<Rack>,
-    began: Instant,
+    rack_keys: Arc<RackKeyCache>,
+    started: Instant,
     cold: bool,
     queue: Mutex<Queue>,
-    more: Condvar,
-    switches: Switches,
+    work_available: Condvar,
+    faults: FaultState,
     portal: Mutex<Option<Portal>>,
 }
 
-/// A stand-in node.
+/// A fake storage node, which can be killed and restarted.
 pub struct FakeNode {
     spec: FakeNodeSpec,
     recorder: Recorder,
     store: Arc<ShardStore>,
-    rack: Arc<Rack>,
-    life: Mutex<Option<(Arc<Life>, SocketAddr, f64)>>,
+    rack_keys: Arc<RackKeyCache>,
+    process: Mutex<Option<(Arc<NodeProcess>, SocketAddr, f64)>>,
 }
 
-struct Open;
+/// Admits every initiator to every target.
+struct AllowAll;
 
-impl AccessControl for Open {
+impl AccessControl for AllowAll {
     fn targets(&self, _: &str) -> Vec<(String, String)> {
         Vec::new()
     }
@@ -167,88 +173,93 @@
 }
 
 impl FakeNode {
-    /// A node that has been up for long. Its blocks are its shard's, its memory of keys its rack's.
+    /// Starts a warm node with the blocks of its shard and the key cache of its rack.
     ///
     /// # Errors
-    /// No address or thread could be had.
+    /// No address was available or a thread could not be started.
     pub fn start(
         spec: FakeNodeSpec,
         store: Arc<ShardStore>,
-        rack: Arc<Rack>,
+        rack_keys: Arc<RackKeyCache>,
         recorder: Recorder,
     ) -> io::Result<FakeNode> {
-        let node = FakeNode { spec, recorder, store, rack, life: Mutex::new(None) };
-        node.begin(false)?;
+        let node = FakeNode { spec, recorder, store, rack_keys, process: Mutex::new(None) };
+        node.start_process(false)?;
         Ok(node)
     }
 
-    /// What it is like.
+    /// The properties of the node.
     pub fn spec(&self) -> &FakeNodeSpec {
         &self.spec
     }
 
-    /// Where it listens and its last start in milliseconds of the Unix epoch, 0 for long ago; `None` while dead.
+    /// Listen address and time of the last start in milliseconds since the Unix epoch, where 0 stands for a
+    /// node that was started warm. `None` while the node is not running.
     pub fn address(&self) -> Option<(SocketAddr, f64)> {
-        lock(&self.life).as_ref().map(|(_, a, s)| (*a, *s))
+        lock(&self.process).as_ref().map(|(_, a, s)| (*a, *s))
     }
 
-    /// Starts again, cold, at a new address.
+    /// Restarts the node cold, at a new address.
     ///
     /// # Errors
-    /// No address or thread could be had.
+    /// No address was available or a thread could not be started.
     pub fn restart(&self) -> io::Result<()> {
         self.kill();
-        self.begin(true)
+        self.start_process(true)
     }
 
-    /// The process is gone: connections drop, what waited is lost.
+    /// Kills the process: its connections are closed and its queued requests are lost.
     pub fn kill(&self) {
-        if let Some((life, ..)) = lock(&self.life).take() {
-            life.end();
+        if let Some((process, ..)) = lock(&self.process).take() {
+            process.stop();
         }
     }
 
-    /// Whether it fell over.
+    /// Whether the node crashed under overload while it was cold.
     pub fn has_crashed(&self) -> bool {
-        lock(&self.life).as_ref().is_some_and(|(life, ..)| life.switches.stopped.load(Ordering::SeqCst))
+        lock(&self.process)
+            .as_ref()
+            .is_some_and(|(process, ..)| process.faults.stopped.load(Ordering::SeqCst))
     }
 
-    /// Switches a fault.
+    /// Injects a fault or removes it.
     pub fn set_fault(&self, fault: NodeFault) {
-        let Some((life, ..)) = lock(&self.life).as_ref().map(|(l, a, s)| (l.clone(), *a, *s)) else { return };
-        let s = &life.switches;
+        let Some((process, ..)) = lock(&self.process).as_ref().map(|(p, a, s)| (p.clone(), *a, *s)) else {
+            return;
+        };
+        let s = &process.faults;
         match fault {
-            NodeFault::Hang(on) => s.hung.store(on, Ordering::SeqCst),
-            NodeFault::Slow(times) => s.slow.store((times * 1_000.0) as u32, Ordering::SeqCst),
-            NodeFault::RejectRequests(on) => s.turns_away.store(on, Ordering::SeqCst),
-            NodeFault::ForgetKeys(on) => s.forgets.store(on, Ordering::SeqCst),
+            NodeFault::Hang(on) => s.hangs.store(on, Ordering::SeqCst),
+            NodeFault::Slow(times) => s.slowdown.store((times * 1_000.0) as u32, Ordering::SeqCst),
+            NodeFault::RejectRequests(on) => s.rejects.store(on, Ordering::SeqCst),
+            NodeFault::ForgetKeys(on) => s.forgets_keys.store(on, Ordering::SeqCst),
             NodeFault::LoseWrites(on) => s.loses_writes.store(on, Ordering::SeqCst),
             NodeFault::ResetAtR2t(on) => s.resets_at_r2t.store(on, Ordering::SeqCst),
-            NodeFault::Pause(span) => *lock(&s.still_until) = Some(Instant::now() + span),
-            NodeFault::Reset => life.sessions().iter().for_each(|s| s.close()),
-            NodeFault::RequestLogout => life.sessions().iter().for_each(|s| s.request_logout(2)),
+            NodeFault::Pause(span) => *lock(&s.paused_until) = Some(Instant::now() + span),
+            NodeFault::Reset => process.sessions().iter().for_each(|s| s.close()),
+            NodeFault::RequestLogout => process.sessions().iter().for_each(|s| s.request_logout(2)),
             NodeFault::RefuseConnections => {
-                if let Some(p) = &*lock(&life.portal) {
+                if let Some(p) = &*lock(&process.portal) {
                     p.stop_accepting();
                 }
             }
         }
-        life.more.notify_all();
+        process.work_available.notify_all();
     }
 
-    fn begin(&self, cold: bool) -> io::Result<()> {
+    fn start_process(&self, cold: bool) -> io::Result<()> {
         let spec = self.spec.clone();
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let life = Arc::new(Life {
+        let process = Arc::new(NodeProcess {
             recorder: self.recorder.clone(),
             store: self.store.clone(),
-            rack: self.rack.clone(),
-            began: Instant::now(),
+            rack_keys: self.rack_keys.clone(),
+            started: Instant::now(),
             cold,
             queue: Mutex::default(),
-            more: Condvar::new(),
-            switches: Switches { slow: AtomicU32::new(1_000), ..Default::default() },
+            work_available: Condvar::new(),
+            faults: FaultState { slowdown: AtomicU32::new(1_000), ..Default::default() },
             portal: Mutex::new(None),
             spec,
         });
@@ -264,29 +275,29 @@
             cold,
             units_per_s: f64::from(self.spec.cores) / self.spec.unit_work.as_secs_f64(),
         });
-        let watched = Arc::downgrade(&life);
+        let weak_process = Arc::downgrade(&process);
         let tap = self.recorder.tap(Endpoint::Node { node: self.spec.id }, move |stream, sent, header| {
-            let Some(life) = watched.upgrade() else { return };
-            if sent && header.opcode() == opcode::R2T && life.switches.resets_at_r2t.load(Ordering::SeqCst) {
-                let session = life.sessions().into_iter().find(|s| s.id() == SessionId(stream));
+            let Some(process) = weak_process.upgrade() else { return };
+            if sent && header.opcode() == opcode::R2T && process.faults.resets_at_r2t.load(Ordering::SeqCst) {
+                let session = process.sessions().into_iter().find(|s| s.id() == SessionId(stream));
                 session.iter().for_each(|s| s.close());
             }
         });
         let config = PortalConfig {
-            access: Arc::new(Open),
+            access: Arc::new(AllowAll),
             limits: Limits { max_commands: 256, max_transfer_bytes: 4 << 20 },
             max_sessions: 1024,
             max_unsent_bytes: 16 << 20,
             first_tsih: 0,
             tap,
         };
-        let portal = Portal::start(listener, config, Arc::new(Served(life.clone())))?;
-        *lock(&life.portal) = Some(portal);
+        let portal = Portal::start(listener, config, Arc::new(NodeService(process.clone())))?;
+        *lock(&process.portal) = Some(portal);
         for _ in 0..self.spec.cores.max(1) {
-            let life = life.clone();
-            spawn_small_stack("node-core", move || life.work())?;
+            let process = process.clone();
+            spawn_small_stack("node-core", move || process.run_core())?;
         }
-        *lock(&self.life) = Some((life, address, started_ms));
+        *lock(&self.process) = Some((process, address, started_ms));
         Ok(())
     }
 }
@@ -297,132 +308,133 @@
     }
 }
 
-impl Life {
+impl NodeProcess {
     fn sessions(&self) -> Vec<Arc<Session>> {
         lock(&self.portal).as_ref().map(Portal::sessions).unwrap_or_default()
     }
 
-    fn end(&self) {
-        self.switches.stopped.store(true, Ordering::SeqCst);
+    fn stop(&self) {
+        self.faults.stopped.store(true, Ordering::SeqCst);
         lock(&self.queue).jobs.clear();
-        self.more.notify_all();
+        self.work_available.notify_all();
         if let Some(portal) = lock(&self.portal).take() {
             portal.close_all();
         }
     }
 
-    /// Part of its capacity that it has now.
-    fn warmth(&self) -> f64 {
+    /// Fraction of the capacity that is available now.
+    fn available_fraction(&self) -> f64 {
         if !self.cold {
             return 1.0;
         }
-        let part = self.began.elapsed().as_secs_f64() / self.spec.warm_after.as_secs_f64().max(1e-3);
-        self.spec.cold_from + (1.0 - self.spec.cold_from) * part.min(1.0)
+        let progress = self.started.elapsed().as_secs_f64() / self.spec.warm_after.as_secs_f64().max(1e-3);
+        self.spec.cold_from + (1.0 - self.spec.cold_from) * progress.min(1.0)
     }
 
-    /// Notes what came; true where a cold node falls over under it.
-    fn falls(&self, q: &mut Queue, units: f64) -> bool {
-        if !self.cold || self.began.elapsed() >= self.spec.warm_after {
+    /// Records an arrival and returns whether a cold node crashes under the load.
+    fn is_overloaded(&self, queue: &mut Queue, units: f64) -> bool {
+        if !self.cold || self.started.elapsed() >= self.spec.warm_after {
             return false;
         }
         let now = Instant::now();
-        q.came.push_back((now, units));
-        while q.came.front().is_some_and(|(at, _)| now.duration_since(*at) > self.spec.fall) {
-            q.came.pop_front();
+        queue.recent_arrivals.push_back((now, units));
+        while queue.recent_arrivals.front().is_some_and(|(at, _)| now.duration_since(*at) > self.spec.fall) {
+            queue.recent_arrivals.pop_front();
         }
-        let sent: f64 = q.came.iter().map(|c| c.1).sum();
+        let arrived: f64 = queue.recent_arrivals.iter().map(|c| c.1).sum();
         let warm_rate = f64::from(self.spec.cores) / self.spec.unit_work.as_secs_f64();
-        let bears = self.spec.fall_multiple * self.warmth() * warm_rate * self.spec.fall.as_secs_f64();
-        sent > bears.max(self.spec.cold_units)
+        let capacity_units =
+            self.spec.fall_multiple * self.available_fraction() * warm_rate * self.spec.fall.as_secs_f64();
+        arrived > capacity_units.max(self.spec.cold_units)
     }
 
-    fn report(&self, q: &mut Queue, volume: u32, host: Option<u16>) -> LoadReport {
-        let all = q.used.get(&volume).copied().unwrap_or(0.0);
-        let told = host.and_then(|h| q.told.insert((volume, h), all)).unwrap_or(all);
+    fn report(&self, queue: &mut Queue, volume: u32, host: Option<u16>) -> LoadReport {
+        let total = queue.units_served.get(&volume).copied().unwrap_or(0.0);
+        let reported = host.and_then(|h| queue.units_reported.insert((volume, h), total)).unwrap_or(total);
         LoadReport {
-            queued: q.jobs.len() as u32,
-            in_flight: (q.jobs.len() + q.busy) as u32,
-            service_us: q.service_us as u32,
-            utilization_milli: (q.busy * 1_000 / usize::from(self.spec.cores.max(1))) as u16,
-            other_hosts_milli_units: ((all - told).max(0.0) * 1_000.0) as u32,
+            queued: queue.jobs.len() as u32,
+            in_flight: (queue.jobs.len() + queue.busy) as u32,
+            service_us: queue.service_us as u32,
+            utilization_milli: (queue.busy * 1_000 / usize::from(self.spec.cores.max(1))) as u16,
+            other_hosts_milli_units: ((total - reported).max(0.0) * 1_000.0) as u32,
             used_percent: u16::MAX,
         }
     }
 
-    fn work(self: Arc<Self>) {
+    fn run_core(self: Arc<Self>) {
         loop {
-            let (job, debt) = {
-                let mut q = lock(&self.queue);
+            let (job, deferred_work) = {
+                let mut queue = lock(&self.queue);
                 loop {
-                    if self.switches.stopped.load(Ordering::SeqCst) {
+                    if self.faults.stopped.load(Ordering::SeqCst) {
                         return;
                     }
-                    let due = q.debt_due.is_some_and(|at| Instant::now() >= at);
+                    let due = queue.flush_due.is_some_and(|at| Instant::now() >= at);
                     if due {
-                        q.debt_due = None;
-                        break (None, std::mem::take(&mut q.debt));
+                        queue.flush_due = None;
+                        break (None, std::mem::take(&mut queue.deferred_work));
                     }
-                    if let Some(job) = q.jobs.pop_front() {
-                        q.busy += 1;
+                    if let Some(job) = queue.jobs.pop_front() {
+                        queue.busy += 1;
                         break (Some(job), Duration::ZERO);
                     }
-                    let waited = self.more.wait_timeout(q, Duration::from_millis(50));
-                    q = waited.unwrap_or_else(PoisonError::into_inner).0;
+                    let wait_result = self.work_available.wait_timeout(queue, Duration::from_millis(50));
+                    queue = wait_result.unwrap_or_else(PoisonError::into_inner).0;
                 }
             };
             let Some(job) = job else {
-                self.spend(debt);
+                self.run_for(deferred_work);
                 continue;
             };
             let began = Instant::now();
-            let whole = self.spec.unit_work.mul_f64(job.units);
-            let put_off = if job.media.is_write() {
-                whole.mul_f64(self.spec.deferred_fraction)
+            let total_work = self.spec.unit_work.mul_f64(job.units);
+            let deferred = if job.media.is_write() {
+                total_work.mul_f64(self.spec.deferred_fraction)
             } else {
                 Duration::ZERO
             };
-            self.spend(whole - put_off);
-            self.finish(job, began, put_off);
+            self.run_for(total_work - deferred);
+            self.finish(job, began, deferred);
         }
     }
 
-    /// Takes a core's time for work, as fast as the node now is.
-    fn spend(&self, work: Duration) {
-        let slow = f64::from(self.switches.slow.load(Ordering::SeqCst)) / 1_000.0;
-        let until = Instant::now() + work.mul_f64((slow / self.warmth()).clamp(0.0, 1e6));
+    /// Occupies the core for work that takes this long on a warm node.
+    fn run_for(&self, work: Duration) {
+        let slowdown = f64::from(self.faults.slowdown.load(Ordering::SeqCst)) / 1_000.0;
+        let until = Instant::now() + work.mul_f64((slowdown / self.available_fraction()).clamp(0.0, 1e6));
         loop {
-            let still = lock(&self.switches.still_until).filter(|s| *s > Instant::now());
-            let until = still.map_or(until, |s| s.max(until));
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() || self.switches.stopped.load(Ordering::SeqCst) {
+            let pause_end = lock(&self.faults.paused_until).filter(|s| *s > Instant::now());
+            let until = pause_end.map_or(until, |s| s.max(until));
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || self.faults.stopped.load(Ordering::SeqCst) {
                 return;
             }
-            std::thread::sleep(left.min(Duration::from_millis(20)));
+            std::thread::sleep(remaining.min(Duration::from_millis(20)));
         }
     }
 
-    fn finish(&self, job: Job, began: Instant, put_off: Duration) {
-        let hung = || self.switches.hung.load(Ordering::SeqCst);
-        // What hangs keeps its core until the fault ends; then it goes on, late.
-        while hung() && !self.switches.stopped.load(Ordering::SeqCst) {
+    fn finish(&self, job: Job, began: Instant, deferred: Duration) {
+        let hangs = || self.faults.hangs.load(Ordering::SeqCst);
+        // A hanging request occupies its core until the fault ends, and is then completed late.
+        while hangs() && !self.faults.stopped.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(5));
         }
-        if self.switches.stopped.load(Ordering::SeqCst) {
+        if self.faults.stopped.load(Ordering::SeqCst) {
             return;
         }
         let key = job.command.metadata.map(|t| t.key);
         let result = self.apply(&job, key);
-        let mut q = lock(&self.queue);
-        q.busy -= 1;
-        q.debt += put_off;
-        if !put_off.is_zero() && q.debt_due.is_none() {
-            q.debt_due = Some(Instant::now() + self.spec.flush_every);
+        let mut queue = lock(&self.queue);
+        queue.busy -= 1;
+        queue.deferred_work += deferred;
+        if !deferred.is_zero() && queue.flush_due.is_none() {
+            queue.flush_due = Some(Instant::now() + self.spec.flush_interval);
         }
         let took = began.elapsed().as_secs_f64() * 1e6;
-        q.service_us += 0.1 * (took - q.service_us);
-        *q.used.entry(job.volume).or_default() += job.units;
-        let report = self.report(&mut q, job.volume, key.map(|k| k.host));
-        drop(q);
+        queue.service_us += 0.1 * (took - queue.service_us);
+        *queue.units_served.entry(job.volume).or_default() += job.units;
+        let report = self.report(&mut queue, job.volume, key.map(|k| k.host));
+        drop(queue);
         let response = match result {
             Ok(data) => {
                 let full_length = job.command.expected_length.into();
@@ -439,16 +451,19 @@
     }
 
     fn apply(&self, job: &Job, key: Option<IdempotencyKey>) -> Result<Payload, Sense> {
-        // A node is not told of block sizes: they follow from the bytes that the command says it moves.
+        // Nodes do not know the block size of a volume. It follows from the transfer length of the command in
+        // bytes.
         let blocks_moved = job.media.transfer_length(1);
-        let block = u64::from(job.command.expected_length).checked_div(blocks_moved).unwrap_or(0) as u32;
+        let block_bytes =
+            u64::from(job.command.expected_length).checked_div(blocks_moved).unwrap_or(0) as u32;
         if !job.media.is_write() {
-            return self.store.carry_out(job.volume, &job.media, block, &job.command.data);
+            return self.store.execute(job.volume, &job.media, block_bytes, &job.command.data);
         }
-        let drops = !self.switches.forgets.load(Ordering::SeqCst);
+        let discards_repeats = !self.faults.forgets_keys.load(Ordering::SeqCst);
         if let Some(key) = key {
-            // A rack's nodes recognise writes alone, and an effect that is dropped still counts as done.
-            if drops && job.media.op == MediaOp::Write && !self.rack.admits(key) {
+            // The nodes of a rack recognise repeated writes only. A discarded repeat is answered as if it had
+            // been applied.
+            if discards_repeats && job.media.op == MediaOp::Write && !self.rack_keys.admit(key) {
                 return Ok(Payload::new());
             }
             self.recorder.record(TraceEventKind::Applied {
@@ -456,22 +471,23 @@
                 key: (key.host, key.host_start_s, key.session, key.cmd_sn, key.part),
             });
         }
-        if self.switches.loses_writes.load(Ordering::SeqCst) && job.media.op == MediaOp::Write {
+        if self.faults.loses_writes.load(Ordering::SeqCst) && job.media.op == MediaOp::Write {
             return Ok(Payload::new());
         }
-        self.store.carry_out(job.volume, &job.media, block, &job.command.data)
+        self.store.execute(job.volume, &job.media, block_bytes, &job.command.data)
     }
 }
 
-struct Served(Arc<Life>);
+/// Handles the sessions of a node's target.
+struct NodeService(Arc<NodeProcess>);
 
-impl SessionHandler for Served {
+impl SessionHandler for NodeService {
     fn logged_in(&self, _: &Arc<Session>, _: &str, _: Option<&str>) -> Result<(), LoginStatus> {
         Ok(())
     }
 
     fn command(&self, session: &Arc<Session>, command: ScsiCommand) {
-        let life = &self.0;
+        let process = &self.0;
         let media = match Cdb::parse(&command.cdb) {
             Ok(Cdb::Media(media)) => media,
             Ok(_) => return session.respond(command.tag, Response::default()),
@@ -484,33 +500,33 @@
         let volume =
             command.metadata.map_or_else(|| u32::from(decode_lun(command.lun).unwrap_or(0)), |t| t.volume);
         let units = command.metadata.map_or(1.0, |t| f64::from(t.milli_units) / 1_000.0);
-        let mut q = lock(&life.queue);
-        if life.falls(&mut q, units) {
-            drop(q);
-            tracing::warn!(node = life.spec.id, "cold node pushed over");
-            life.end();
+        let mut queue = lock(&process.queue);
+        if process.is_overloaded(&mut queue, units) {
+            drop(queue);
+            tracing::warn!(node = process.spec.id, "cold node crashed under overload");
+            process.stop();
             return;
         }
-        let full = q.jobs.len() >= usize::from(life.spec.queue_capacity)
-            || life.switches.turns_away.load(Ordering::SeqCst);
-        if full {
+        let is_full = queue.jobs.len() >= usize::from(process.spec.queue_capacity)
+            || process.faults.rejects.load(Ordering::SeqCst);
+        if is_full {
             let host = command.metadata.map(|t| t.key.host);
-            let report = Some(life.report(&mut q, volume, host));
-            drop(q);
+            let report = Some(process.report(&mut queue, volume, host));
+            drop(queue);
             let response = Response { status: status::TASK_SET_FULL, report, ..Default::default() };
             return session.respond(command.tag, response);
         }
-        q.jobs.push_back(Job { session: session.clone(), command, media, volume, units });
-        drop(q);
-        life.more.notify_one();
+        queue.jobs.push_back(Job { session: session.clone(), command, media, volume, units });
+        drop(queue);
+        process.work_available.notify_one();
     }
 
-    /// What still waits is dropped, what is in work goes on.
+    /// Drops the request if it is still queued. A request in execution is completed.
     fn aborted(&self, session: &Arc<Session>, tag: TaskTag) {
-        let of_it = |j: &Job| j.session.id() == session.id() && j.command.tag == tag;
-        lock(&self.0.queue).jobs.retain(|j| !of_it(j));
+        let is_aborted = |j: &Job| j.session.id() == session.id() && j.command.tag == tag;
+        lock(&self.0.queue).jobs.retain(|j| !is_aborted(j));
     }
 
-    /// What a lost connection had sent still runs.
+    /// Requests of a lost connection are still executed.
     fn closed(&self, _: &Arc<Session>, _: &str) {}
 }
--- a/crates/stand/src/store.rs
+++ b/crates/stand/src/store.rs
@@ -1,4 +1,5 @@
-//! Blocks, which outlive a node's process, and a rack's memory of keys.
+//! State that survives the restart of a node: the blocks of its shard and the idempotency keys seen in its
+//! rack.
 
 use pearfork_iscsi::node_extension::IdempotencyKey;
 use pearfork_iscsi::Payload;
@@ -7,47 +8,48 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Bytes in a page of the store.
-const PAGE: usize = 64 * 1024;
+/// Page size of the store, in bytes.
+const PAGE_BYTES: usize = 64 * 1024;
 
-/// Pages by volume and number.
+/// Pages by volume and page number.
 type Pages = HashMap<(u32, u64), Box<[u8]>>;
 
-/// The blocks of a shard, of all volumes; what was never written reads as zeroes.
+/// The blocks of all volumes in one shard. Blocks that were never written read as zeroes.
 #[derive(Default)]
 pub struct ShardStore {
     pages: Mutex<Pages>,
 }
 
 impl ShardStore {
-    /// Carries out a command whose data is whole.
+    /// Executes a command whose data was received completely.
     ///
     /// # Errors
-    /// Sense data, for a comparison that failed.
-    pub fn carry_out(
+    /// Sense data with the offset of the first difference, for a comparison that failed.
+    pub fn execute(
         &self,
         volume: u32,
         media: &MediaCommand,
-        block: u32,
+        block_bytes: u32,
         data: &Payload,
     ) -> Result<Payload, Sense> {
         let mut pages = self.pages.lock().unwrap_or_else(PoisonError::into_inner);
-        let (at, len) = (media.lba * u64::from(block), media.blocks as usize * block as usize);
+        let (offset, len) =
+            (media.lba * u64::from(block_bytes), media.blocks as usize * block_bytes as usize);
         match media.op {
-            MediaOp::Read => Ok(read(&pages, volume, at, len).into()),
+            MediaOp::Read => Ok(read(&pages, volume, offset, len).into()),
             MediaOp::Write => {
-                write(&mut pages, volume, at, data);
+                write(&mut pages, volume, offset, data);
                 Ok(Payload::new())
             }
             MediaOp::Verify { compare: false } | MediaOp::Flush => Ok(Payload::new()),
             MediaOp::Verify { compare: true } | MediaOp::CompareAndWrite => {
-                let now = read(&pages, volume, at, len);
-                let wanted = data.slice(0, len).to_bytes();
-                if let Some(offset) = now.iter().zip(&wanted).position(|(a, b)| a != b) {
-                    return Err(Sense::miscompare(offset as u32));
+                let stored = read(&pages, volume, offset, len);
+                let expected = data.slice(0, len).to_bytes();
+                if let Some(difference) = stored.iter().zip(&expected).position(|(a, b)| a != b) {
+                    return Err(Sense::miscompare(difference as u32));
                 }
                 if media.op == MediaOp::CompareAndWrite {
-                    write(&mut pages, volume, at, &data.slice(len, len));
+                    write(&mut pages, volume, offset, &data.slice(len, len));
                 }
                 Ok(Payload::new())
             }
@@ -55,20 +57,21 @@
     }
 }
 
-/// Cuts a range of bytes at the borders of pages: page, offset in it, bytes.
-fn pieces(at: u64, len: usize) -> impl Iterator<Item = (u64, usize, usize)> {
+/// Splits a range of bytes at page boundaries. Yields the page number, the offset in the page and the length.
+fn split_by_page(start: u64, len: usize) -> impl Iterator<Item = (u64, usize, usize)> {
     let mut done = 0;
     std::iter::from_fn(move || {
-        let (page, offset) = ((at + done as u64) / PAGE as u64, ((at + done as u64) % PAGE as u64) as usize);
-        let n = (len - done).min(PAGE - offset);
+        let (page, offset) =
+            ((start + done as u64) / PAGE_BYTES as u64, ((start + done as u64) % PAGE_BYTES as u64) as usize);
+        let n = (len - done).min(PAGE_BYTES - offset);
         done += n;
         (n > 0).then_some((page, offset, n))
     })
 }
 
-fn read(pages: &Pages, volume: u32, at: u64, len: usize) -> Vec<u8> {
+fn read(pages: &Pages, volume: u32, start: u64, len: usize) -> Vec<u8> {
     let mut out = Vec::with_capacity(len);
-    for (page, offset, n) in pieces(at, len) {
+    for (page, offset, n) in split_by_page(start, len) {
         match pages.get(&(volume, page)) {
             Some(p) => out.extend_from_slice(&p[offset..offset + n]),
             None => out.resize(out.len() + n, 0),
@@ -77,42 +80,43 @@
     out
 }
 
-fn write(pages: &mut Pages, volume: u32, at: u64, data: &Payload) {
-    let mut done = 0;
-    for piece in data.chunks() {
-        let mut taken = 0;
-        for (page, offset, n) in pieces(at + done as u64, piece.len()) {
-            let p = pages.entry((volume, page)).or_insert_with(|| vec![0; PAGE].into());
-            p[offset..offset + n].copy_from_slice(&piece[taken..taken + n]);
-            taken += n;
+fn write(pages: &mut Pages, volume: u32, start: u64, data: &Payload) {
+    let mut written = 0;
+    for chunk in data.chunks() {
+        let mut copied = 0;
+        for (page, offset, n) in split_by_page(start + written as u64, chunk.len()) {
+            let p = pages.entry((volume, page)).or_insert_with(|| vec![0; PAGE_BYTES].into());
+            p[offset..offset + n].copy_from_slice(&chunk[copied..copied + n]);
+            copied += n;
         }
-        done += taken;
+        written += copied;
     }
 }
 
-/// What the nodes of a rack remember together: keys of writes, for a window after the first of each.
-pub struct Rack {
+/// The idempotency keys of writes that the nodes of one rack have applied, kept for a window after each key's
+/// first write.
+pub struct RackKeyCache {
     window: Duration,
-    seen: Mutex<HashMap<IdempotencyKey, Instant>>,
+    first_applied: Mutex<HashMap<IdempotencyKey, Instant>>,
 }
 
-impl Rack {
-    /// A rack that drops a repeat for so long.
+impl RackKeyCache {
+    /// Creates a cache that recognises a key for the length of `window`.
     pub fn new(window: Duration) -> Self {
-        Rack { window, seen: Mutex::default() }
+        RackKeyCache { window, first_applied: Mutex::default() }
     }
 
-    /// Whether the effect of a key is to take place: not when it did within the window.
-    pub(crate) fn admits(&self, key: IdempotencyKey) -> bool {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Returns whether a write with this key is to be applied. False if one was applied within the window.
+    pub(crate) fn admit(&self, key: IdempotencyKey) -> bool {
+        let mut first_applied = self.first_applied.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        if seen.len() > 65_536 {
-            seen.retain(|_, at| now.duration_since(*at) < self.window);
+        if first_applied.len() > 65_536 {
+            first_applied.retain(|_, at| now.duration_since(*at) < self.window);
         }
-        match seen.get(&key) {
+        match first_applied.get(&key) {
             Some(at) if now.duration_since(*at) < self.window => false,
             _ => {
-                seen.insert(key, now);
+                first_applied.insert(key, now);
                 true
             }
         }
