--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,8 +1,9 @@
-//! Days whose hosts are processes of their own, with troubles between them.
+//! Runs scenarios whose hosts are separate processes, and injects faults between them.
 //!
-//! The script is that of `pearfork-day`; [`Processes`] runs its hosts. Every link from a host to a voter goes through a
-//! [`relay`] of its own, so that each direction of each pair can be cut, slowed, or made to lose and repeat messages.
-//! Nodes, clients and the record are the day's, in this process; the rules are judged from what passed the sockets.
+//! The scenarios are those of `pearfork-day`, with [`HostProcesses`] to run the hosts. Each link from a host
+//! to a voter goes through its own [`relay`], so that each direction of each pair can be cut, slowed, or made
+//! to lose and repeat messages. The fake nodes and clients and the recorder run in this process, and the
+//! rules are checked from the recorded traffic.
 
 mod draw;
 mod processes;
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -1,4 +1,4 @@
-//! `pearfork-trial`: plays days whose hosts are processes of their own.
+//! `pearfork-trial`: runs scenarios whose hosts are separate processes.
 
 use clap::{Parser, Subcommand};
 use pearfork_cli::{Common, Exit, SettingsArguments};
@@ -13,20 +13,21 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plays scripted days with each host in a process of its own: processes are killed and stopped, links cut, disks filled.
-/// Exit codes: 0 all held, 1 something broke, 2 nothing could be played. The last line is one JSON object with `--json`.
+/// Runs scenarios with each host in its own process, and kills or stops processes, cuts links and fills
+/// disks. Exit codes: 0 no violation, 1 a violation, 2 a scenario could not be run. With `--json` the last
+/// line is one JSON object.
 #[derive(Parser)]
 #[command(name = "pearfork-trial", version, about)]
 struct Arguments {
     #[command(flatten)]
     common: Common,
-    /// The program that hosts run; the one beside this program where it is not named.
+    /// Program that the hosts run; by default `pearfork-gateway` in the folder of this program
     #[arg(long)]
     gateway: Option<PathBuf>,
-    /// Keep logs and files of hosts here; otherwise they go when the play is over.
+    /// Folder in which the logs and files of the hosts are kept; by default they are deleted after the run
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// A host's clock runs at this rate, as HOST=RATE; may be given for several.
+    /// Rate of a host's clock as HOST=RATE; may be repeated
     #[arg(long)]
     clock: Vec<String>,
     #[command(subcommand)]
@@ -41,39 +42,40 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day.
+    /// Run a scenario
     Play {
-        /// The day.
+        /// Scenario file
         day: PathBuf,
         #[command(flatten)]
         settings: SettingsArguments,
     },
-    /// Play the day that comes with the program: the load of a limited volume moves from host to host.
+    /// Run the built-in scenario, in which the load of a volume with a limit moves from host to host
     Demo,
-    /// Play a day with troubles drawn from seeds, in place of its own; where one breaks, look for the fewest troubles that do.
+    /// Run a scenario with random faults in place of its own, and shrink the faults of a run that has a
+    /// violation
     Search {
-        /// The day: its length, nodes and clients.
+        /// Scenario file, of which the length, nodes and clients are used
         day: PathBuf,
         #[command(flatten)]
         settings: SettingsArguments,
-        /// The first seed.
+        /// First seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds.
+        /// Number of seeds
         #[arg(long, default_value_t = 5)]
         plays: u64,
-        /// Troubles of a day.
+        /// Number of faults in each run
         #[arg(long, default_value_t = 8)]
         troubles: usize,
     },
 }
 
-/// The day and the settings of its hosts that come with the program.
+/// The built-in scenario and the settings of its hosts.
 const DEMO: (&str, &str) = (include_str!("../days/moves.toml"), include_str!("../days/hosts.toml"));
 
-/// What is told at the end.
+/// The result of a run.
 #[derive(Serialize)]
-struct End<'a> {
+struct RunReport<'a> {
     day: &'a str,
     seed: u64,
     broken: Vec<String>,
@@ -82,6 +84,7 @@
     refused: u64,
 }
 
+/// A progress message of a run.
 #[derive(Serialize)]
 struct Progress<'a> {
     at_s: f64,
@@ -97,88 +100,98 @@
         Command::Play { day, settings } => {
             let (text, plan) = load_inputs(day, settings)?;
             let settings = plan.provenance.resolved();
-            let script = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
-            let right = one(&a, &day.display().to_string(), &script, &plan, settings, true)?;
-            Ok(if right { Exit::Fine } else { Exit::No })
+            let scenario = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
+            let passed = run_once(&a, &day.display().to_string(), &scenario, &plan, settings, true)?;
+            Ok(if passed { Exit::Fine } else { Exit::No })
         }
         Command::Demo => {
             let plan = HostSettings::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
-            let script = Scenario::from_toml(DEMO.0).map_err(|e| e.to_string())?;
-            let right = one(&a, "demo", &script, &plan, DEMO.1, true)?;
-            Ok(if right { Exit::Fine } else { Exit::No })
+            let scenario = Scenario::from_toml(DEMO.0).map_err(|e| e.to_string())?;
+            let passed = run_once(&a, "demo", &scenario, &plan, DEMO.1, true)?;
+            Ok(if passed { Exit::Fine } else { Exit::No })
         }
         Command::Search { day, settings, seed, plays, troubles } => {
             let (text, plan) = load_inputs(day, settings)?;
             let settings = plan.provenance.resolved();
-            let mut script = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
+            let mut scenario = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
             let voters = plan.fleet.as_ref().map_or(1, |f| f.voters.len() as u16);
-            script.expectations.clear();
-            let mut end = Exit::Fine;
+            scenario.expectations.clear();
+            let mut exit = Exit::Fine;
             for seed in *seed..seed.saturating_add(*plays) {
-                script.run.seed = seed;
-                script.events = draw_schedule(seed, script.run.hosts, voters, script.run.length, *troubles);
-                if one(&a, &format!("seed {seed}"), &script, &plan, settings, false)? {
+                scenario.run.seed = seed;
+                scenario.events =
+                    draw_schedule(seed, scenario.run.hosts, voters, scenario.run.length, *troubles);
+                if run_once(&a, &format!("seed {seed}"), &scenario, &plan, settings, false)? {
                     continue;
                 }
-                end = Exit::No;
-                let mut smaller = script.clone();
-                let least = shrink_schedule(script.events.clone(), |events| {
+                exit = Exit::No;
+                let mut smaller = scenario.clone();
+                let shrunk = shrink_schedule(scenario.events.clone(), |events| {
                     smaller.events = events.to_vec();
-                    // One that holds once may break the next time: it is left out only where it breaks without.
-                    one(&a, "smaller", &smaller, &plan, settings, false).is_ok_and(|right| !right)
+                    // A failure may not occur in every run. A fault is removed only if a run without it still
+                    // fails.
+                    run_once(&a, "smaller", &smaller, &plan, settings, false).is_ok_and(|passed| !passed)
                 });
-                let words: Vec<String> = least.iter().map(|e| format!("{e:?}")).collect();
-                a.common.output.put(&words, &format!("seed {seed} breaks by\n  {}\n", words.join("\n  ")));
+                let faults: Vec<String> = shrunk.iter().map(|e| format!("{e:?}")).collect();
+                a.common.output.put(
+                    &faults,
+                    &format!("seed {seed} fails with these faults:\n  {}\n", faults.join("\n  ")),
+                );
             }
-            Ok(end)
+            Ok(exit)
         }
     }
 }
 
-fn one(
+/// Runs a scenario once and reports the result. Returns whether it had no violation.
+fn run_once(
     a: &Arguments,
     name: &str,
-    day: &Scenario,
+    scenario: &Scenario,
     plan: &HostSettings,
     settings: &str,
-    loud: bool,
+    verbose: bool,
 ) -> Result<bool, String> {
     let output = a.common.output;
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let beside = std::env::current_exe().map_err(|e| e.to_string())?.with_file_name("pearfork-gateway");
+    let default_gateway =
+        std::env::current_exe().map_err(|e| e.to_string())?.with_file_name("pearfork-gateway");
     let mut clocks = BTreeMap::new();
     for c in &a.clock {
         let parsed = c.split_once('=').and_then(|(h, r)| Some((h.parse().ok()?, r.parse().ok()?)));
-        let (host, rate) = parsed.ok_or_else(|| format!("--clock {c}: say HOST=RATE, as 2=1.2"))?;
+        let (host, rate) =
+            parsed.ok_or_else(|| format!("--clock {c}: expected HOST=RATE, for example 2=1.2"))?;
         clocks.insert(host, rate);
     }
-    let program = ProcessConfig {
-        gateway: a.gateway.clone().unwrap_or(beside),
+    let config = ProcessConfig {
+        gateway: a.gateway.clone().unwrap_or(default_gateway),
         settings: settings.to_owned(),
         folder: a.keep.clone().unwrap_or_else(|| scratch.path().to_owned()),
         clocks,
     };
-    let told = |at: Duration, words: &str| {
-        if loud {
+    let on_progress = |at: Duration, words: &str| {
+        if verbose {
             let at_s = at.as_secs_f64();
             output.put(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
         }
     };
-    let mut crew = HostProcesses::new(program);
-    if loud {
-        crew.tell(move |host, at| {
+    let mut runner = HostProcesses::new(config);
+    if verbose {
+        runner.on_host_ready(move |host, at| {
             let words = format!("host {host}: http://{at}/fleet");
             output.put(&Progress { at_s: 0.0, words: &words }, &format!("        {words}\n"));
         });
     }
-    let result = run_scenario(day, plan, &mut crew, told).map_err(|e| e.to_string())?;
+    let result = run_scenario(scenario, plan, &mut runner, on_progress).map_err(|e| e.to_string())?;
     let summary = Summary::new(&result);
-    if loud {
+    if verbose {
         output.put(&summary, &summary.render(output));
     }
     let mut broken: Vec<String> = summary.rules.iter().flat_map(|r| r.words.clone()).collect();
     broken.extend(summary.stale.iter().cloned());
-    broken.extend(summary.collapsed_nodes.iter().map(|n| format!("node {n} fell over")));
+    broken.extend(
+        summary.collapsed_nodes.iter().map(|n| format!("node {n} crashed under overload while cold")),
+    );
     broken.extend(summary.expectations.iter().filter(|e| !e.met).map(|e| {
         format!(
             "{}: {:.1} % of its limit from {} to {} s",
@@ -189,15 +202,16 @@
         )
     }));
     let nearest = summary.rules.iter().filter_map(|r| Some((r.rule.clone(), r.nearest?))).collect();
-    let end = End {
+    let report = RunReport {
         day: name,
-        seed: day.run.seed,
+        seed: scenario.run.seed,
         broken,
         nearest,
         served: result.clients.iter().map(|(_, t)| t.served).sum(),
         refused: result.clients.iter().map(|(_, t)| t.refused).sum(),
     };
-    let verdict = if end.broken.is_empty() { "all held".to_owned() } else { end.broken.join("\n  ") };
-    output.put(&end, &format!("{name}, seed {}: {verdict}\n", end.seed));
+    let verdict =
+        if report.broken.is_empty() { "no violation".to_owned() } else { report.broken.join("\n  ") };
+    output.put(&report, &format!("{name}, seed {}: {verdict}\n", report.seed));
     Ok(summary.passed)
 }
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -1,6 +1,7 @@
-//! A link from one host to one voter, which can be broken in all ways that a link breaks.
+//! A TCP relay on the link from one host to one voter, with injected faults.
 //!
-//! It knows of the talk only where messages begin and end: four bytes of length, four of checksum, the body.
+//! Of the protocol, the relay knows only the message framing: four bytes of length, four of checksum, the
+//! body.
 
 use pearfork_net::{lock, spawn_small_stack};
 use rand_core::Rng;
@@ -15,187 +16,197 @@
 /// One of the two directions of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From whoever dialed.
+    /// From the side that opened the connection.
     FromDialer,
-    /// Back to whoever dialed.
+    /// To the side that opened the connection.
     ToDialer,
 }
 
-/// What is wrong with one direction of a link.
+/// The faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// Nothing passes; what was said waits, as in a sender's buffer, and comes late.
+    /// Nothing is forwarded. Messages wait, as in a sender's buffer, and are forwarded when the cut ends.
     pub cut: bool,
-    /// Each message takes so much longer.
+    /// Delay that is added to each message.
     pub delay: Duration,
-    /// Part of the messages that is lost.
-    pub lost: f64,
-    /// Messages come once more, so much later.
-    pub repeat: Duration,
-    /// Bytes come one by one.
+    /// Fraction of the messages that is dropped.
+    pub drop_fraction: f64,
+    /// Each message is sent again after this delay; zero for none.
+    pub repeat_delay: Duration,
+    /// Bytes are sent one by one.
     pub trickle: bool,
 }
 
-/// Messages of a direction that may come again at the most.
-const KEPT: usize = 64;
-/// Longest message that this relay carries, bytes.
+/// Maximum number of messages of one direction that wait to be repeated.
+const MAX_PENDING_REPEATS: usize = 64;
+/// Largest message that the relay forwards, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 /// Bytes of a message before its body.
 const HEADER_BYTES: usize = 8;
-/// How often a direction that stands still looks whether it may go on.
+/// How often a blocked direction checks whether it may continue.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How long one read waits for a message.
+/// Timeout of one read, after which faults are evaluated again.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// How long a connection to the other end may take.
+/// Timeout of a connection attempt to the voter.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Of bytes that come one by one, one in so many is followed by a pause.
+/// When bytes are sent one by one, on average one in this number is followed by a pause.
 const TRICKLE_PAUSE_ONE_IN: u32 = 16;
-/// That pause.
+/// Length of that pause.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(1);
 
 struct Inner {
-    there: SocketAddr,
+    upstream: SocketAddr,
     /// Faults by direction.
     faults: [Mutex<LinkFault>; 2],
-    /// Every pair of sockets that is up; broken on purpose in the middle of the next message.
-    pairs: Mutex<Vec<Arc<Pair>>>,
-    over: AtomicBool,
+    /// The connections that are open.
+    connections: Mutex<Vec<Arc<RelayedConnection>>>,
+    stopped: AtomicBool,
     seed: u64,
 }
 
-struct Pair {
+/// The two sockets of a relayed connection.
+struct RelayedConnection {
     sockets: [TcpStream; 2],
-    /// The next message breaks off in its middle, and the connection with it.
-    breaks: AtomicBool,
+    /// Whether to close the connection in the middle of the next message.
+    reset_pending: AtomicBool,
 }
 
-/// A relay that listens at an address of its own. Dropping it ends it and all that goes through it.
+/// A relay with its own listen address. Dropping it closes all its connections.
 pub struct Relay {
     inner: Arc<Inner>,
     address: SocketAddr,
 }
 
 impl Relay {
-    /// Begins to carry from an address of loopback to another.
+    /// Starts a relay that listens on loopback and forwards to `upstream`.
     ///
     /// # Errors
-    /// No address or thread could be had.
-    pub fn start(there: SocketAddr, seed: u64) -> io::Result<Relay> {
+    /// No address was available or the thread could not be started.
+    pub fn start(upstream: SocketAddr, seed: u64) -> io::Result<Relay> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
-        let over = AtomicBool::new(false);
-        let inner =
-            Arc::new(Inner { there, faults: Default::default(), pairs: Mutex::default(), over, seed });
+        let stopped = AtomicBool::new(false);
+        let inner = Arc::new(Inner {
+            upstream,
+            faults: Default::default(),
+            connections: Mutex::default(),
+            stopped,
+            seed,
+        });
         let accepting = inner.clone();
         spawn_small_stack("relay", move || {
             for socket in listener.incoming() {
-                if accepting.over.load(Ordering::SeqCst) {
+                if accepting.stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 if let Ok(socket) = socket {
-                    accepting.carry(socket);
+                    accepting.relay(socket);
                 }
             }
         })?;
         Ok(Relay { inner, address })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what is wrong with a direction.
+    /// Changes the faults of one direction.
     pub fn change_fault(&self, direction: Direction, change: impl Fn(&mut LinkFault)) {
         change(&mut lock(&self.inner.faults[direction as usize]));
     }
 
-    /// Breaks all connections in the middle of their next message.
+    /// Closes each open connection in the middle of its next message.
     pub fn reset(&self) {
-        lock(&self.inner.pairs).iter().for_each(|p| p.breaks.store(true, Ordering::SeqCst));
+        lock(&self.inner.connections).iter().for_each(|p| p.reset_pending.store(true, Ordering::SeqCst));
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.inner.over.store(true, Ordering::SeqCst);
-        lock(&self.inner.pairs).iter().for_each(|p| p.shut());
-        // Ends the thread that accepts.
+        self.inner.stopped.store(true, Ordering::SeqCst);
+        lock(&self.inner.connections).iter().for_each(|p| p.shutdown());
+        // Wakes the accepting thread, which then ends.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-impl Pair {
-    fn shut(&self) {
+impl RelayedConnection {
+    fn shutdown(&self) {
         self.sockets.iter().for_each(|s| drop(s.shutdown(Shutdown::Both)));
     }
 }
 
 impl Inner {
-    fn carry(self: &Arc<Self>, here: TcpStream) {
-        // A link that is cut takes no new connections either; whoever dials waits or gives up.
-        let Ok(there) = TcpStream::connect_timeout(&self.there, CONNECT_TIMEOUT) else { return };
-        let _ = (here.set_nodelay(true), there.set_nodelay(true));
-        let (Ok(a), Ok(b)) = (here.try_clone(), there.try_clone()) else { return };
-        let pair = Arc::new(Pair { sockets: [a, b], breaks: AtomicBool::new(false) });
-        lock(&self.pairs).push(pair.clone());
-        let (Ok(a), Ok(b)) = (here.try_clone(), there.try_clone()) else { return pair.shut() };
-        for (direction, from, to) in [(Direction::FromDialer, here, b), (Direction::ToDialer, there, a)] {
+    fn relay(self: &Arc<Self>, client: TcpStream) {
+        // When the voter cannot be reached, the accepted connection is closed, and the host tries again or
+        // gives up.
+        let Ok(server) = TcpStream::connect_timeout(&self.upstream, CONNECT_TIMEOUT) else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (Ok(a), Ok(b)) = (client.try_clone(), server.try_clone()) else { return };
+        let connection =
+            Arc::new(RelayedConnection { sockets: [a, b], reset_pending: AtomicBool::new(false) });
+        lock(&self.connections).push(connection.clone());
+        let (Ok(a), Ok(b)) = (client.try_clone(), server.try_clone()) else { return connection.shutdown() };
+        for (direction, from, to) in [(Direction::FromDialer, client, b), (Direction::ToDialer, server, a)] {
             let mut forwarder = Forwarder {
                 inner: self.clone(),
-                pair: pair.clone(),
+                connection: connection.clone(),
                 direction,
                 from,
                 to,
-                draws: Pcg64Mcg::new(u128::from(self.seed) << 1 | direction as u128 | 1),
+                rng: Pcg64Mcg::new(u128::from(self.seed) << 1 | direction as u128 | 1),
                 repeats: VecDeque::new(),
             };
             let spawned = spawn_small_stack("relay-side", move || {
                 let _ = forwarder.run();
-                forwarder.pair.shut();
-                lock(&forwarder.inner.pairs).retain(|p| !Arc::ptr_eq(p, &forwarder.pair));
+                forwarder.connection.shutdown();
+                lock(&forwarder.inner.connections).retain(|p| !Arc::ptr_eq(p, &forwarder.connection));
             });
             if spawned.is_err() {
-                return pair.shut();
+                return connection.shutdown();
             }
         }
     }
 }
 
-/// Carries one direction of one connection, a message at a time.
+/// Forwards one direction of one connection, one message at a time.
 struct Forwarder {
     inner: Arc<Inner>,
-    pair: Arc<Pair>,
+    connection: Arc<RelayedConnection>,
     direction: Direction,
     from: TcpStream,
     to: TcpStream,
-    draws: Pcg64Mcg,
-    /// Messages that come once more, and when.
+    rng: Pcg64Mcg,
+    /// Messages to be sent again, and when.
     repeats: VecDeque<(Instant, Vec<u8>)>,
 }
 
 impl Forwarder {
-    fn is_over(&self) -> bool {
-        self.inner.over.load(Ordering::SeqCst)
+    fn is_stopped(&self) -> bool {
+        self.inner.stopped.load(Ordering::SeqCst)
     }
 
     fn fault(&self) -> LinkFault {
         *lock(&self.inner.faults[self.direction as usize])
     }
 
-    /// Carries messages until the relay is over or the connection ends.
+    /// Forwards messages until the relay is stopped or the connection is closed.
     fn run(&mut self) -> io::Result<()> {
         self.from.set_read_timeout(Some(READ_TIMEOUT))?;
-        let mut head = Vec::new();
-        while !self.is_over() {
+        let mut partial = Vec::new();
+        while !self.is_stopped() {
             if self.fault().cut {
                 std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
             self.send_repeats()?;
-            let Some(message) = read_message(&mut self.from, &mut head, &self.inner.over)? else { continue };
+            let Some(message) = read_message(&mut self.from, &mut partial, &self.inner.stopped)? else {
+                continue;
+            };
             self.wait_out_fault();
-            if self.pair.breaks.swap(false, Ordering::SeqCst) {
+            if self.connection.reset_pending.swap(false, Ordering::SeqCst) {
                 return self.to.write_all(&message[..message.len() / 2]);
             }
             self.forward(message)?;
@@ -203,9 +214,9 @@
         Ok(())
     }
 
-    /// A number in [0, 1).
-    fn draw(&mut self) -> f64 {
-        f64::from(self.draws.next_u32()) / (f64::from(u32::MAX) + 1.0)
+    /// Returns a uniform random number in [0, 1).
+    fn random_unit(&mut self) -> f64 {
+        f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
     fn send_repeats(&mut self) -> io::Result<()> {
@@ -216,17 +227,17 @@
         Ok(())
     }
 
-    /// Waits until a message may go on. The link may have been cut while the message was waited for.
+    /// Waits for the delay and for the end of a cut, which may have begun while the message was being read.
     fn wait_out_fault(&self) {
         let due = Instant::now() + self.fault().delay;
-        while (Instant::now() < due || self.fault().cut) && !self.is_over() {
+        while (Instant::now() < due || self.fault().cut) && !self.is_stopped() {
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn forward(&mut self, message: Vec<u8>) -> io::Result<()> {
         let fault = self.fault();
-        if fault.lost > 0.0 && self.draw() < fault.lost {
+        if fault.drop_fraction > 0.0 && self.random_unit() < fault.drop_fraction {
             return Ok(());
         }
         if fault.trickle {
@@ -234,8 +245,8 @@
         } else {
             self.to.write_all(&message)?;
         }
-        if fault.repeat > Duration::ZERO && self.repeats.len() < KEPT {
-            self.repeats.push_back((Instant::now() + fault.repeat, message));
+        if fault.repeat_delay > Duration::ZERO && self.repeats.len() < MAX_PENDING_REPEATS {
+            self.repeats.push_back((Instant::now() + fault.repeat_delay, message));
         }
         Ok(())
     }
@@ -243,7 +254,7 @@
     fn trickle(&mut self, message: &[u8]) -> io::Result<()> {
         for byte in message {
             self.to.write_all(std::slice::from_ref(byte))?;
-            if self.draws.next_u32().is_multiple_of(TRICKLE_PAUSE_ONE_IN) {
+            if self.rng.next_u32().is_multiple_of(TRICKLE_PAUSE_ONE_IN) {
                 std::thread::sleep(TRICKLE_PAUSE);
             }
         }
@@ -251,29 +262,34 @@
     }
 }
 
-/// The next message, whole; none where nothing came for a moment.
-fn read_message(from: &mut TcpStream, head: &mut Vec<u8>, over: &AtomicBool) -> io::Result<Option<Vec<u8>>> {
+/// Reads the next complete message into `partial`. `None` if the read timed out before a message began, or
+/// the relay was stopped.
+fn read_message(
+    from: &mut TcpStream,
+    partial: &mut Vec<u8>,
+    stopped: &AtomicBool,
+) -> io::Result<Option<Vec<u8>>> {
     loop {
-        let length = head.get(..4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
-        let wanted = HEADER_BYTES + length.map_or(0, |l| l as usize);
-        if wanted > MAX_MESSAGE_BYTES {
+        let length = partial.get(..4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
+        let expected = HEADER_BYTES + length.map_or(0, |l| l as usize);
+        if expected > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        if length.is_some() && head.len() >= wanted {
-            return Ok(Some(std::mem::take(head)));
+        if length.is_some() && partial.len() >= expected {
+            return Ok(Some(std::mem::take(partial)));
         }
-        let had = head.len();
-        head.resize(wanted, 0);
-        match from.read(&mut head[had..]) {
+        let received = partial.len();
+        partial.resize(expected, 0);
+        match from.read(&mut partial[received..]) {
             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-            Ok(n) => head.truncate(had + n),
+            Ok(n) => partial.truncate(received + n),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                head.truncate(had);
-                if over.load(Ordering::SeqCst) || had == 0 {
+                partial.truncate(received);
+                if stopped.load(Ordering::SeqCst) || received == 0 {
                     return Ok(None);
                 }
             }
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => head.truncate(had),
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => partial.truncate(received),
             Err(e) => return Err(e),
         }
     }
--- a/crates/trial/tests/relay.rs
+++ b/crates/trial/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A link that is cut, slowed, broken, and loses or repeats messages.
+//! The faults of a relayed link: cuts, delays, lost and repeated messages, resets.
 
 use pearfork_trial::relay::{Direction, LinkFault, Relay};
 use std::io::{Read, Write};
@@ -12,46 +12,48 @@
     m
 }
 
-fn through() -> (Relay, TcpStream, TcpStream) {
+fn relayed_pair() -> (Relay, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(listener.local_addr().unwrap(), 3).unwrap();
-    let here = TcpStream::connect(relay.address()).unwrap();
-    let there = listener.accept().unwrap().0;
-    there.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
-    (relay, here, there)
+    let client = TcpStream::connect(relay.address()).unwrap();
+    let server = listener.accept().unwrap().0;
+    server.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
+    (relay, client, server)
 }
 
-fn comes(there: &mut TcpStream, length: usize) -> bool {
-    there.read_exact(&mut vec![0; length]).is_ok()
+fn receives(server: &mut TcpStream, length: usize) -> bool {
+    server.read_exact(&mut vec![0; length]).is_ok()
 }
 
 #[test]
-fn messages_pass_wait_at_a_cut_come_again_and_break_off() {
-    let (relay, mut here, mut there) = through();
+fn messages_are_forwarded_held_repeated_lost_and_truncated_by_faults() {
+    let (relay, mut client, mut server) = relayed_pair();
     let m = message(b"hello");
-    here.write_all(&m).unwrap();
-    assert!(comes(&mut there, m.len()));
+    client.write_all(&m).unwrap();
+    assert!(receives(&mut server, m.len()));
     relay.change_fault(Direction::FromDialer, |fault| fault.cut = true);
-    // The one that the relay was about to read still passes in some cases; from then on nothing does.
+    // A read that was in progress may still forward one message. After it nothing is forwarded.
     std::thread::sleep(Duration::from_millis(60));
-    here.write_all(&m).unwrap();
-    assert!(!comes(&mut there, m.len()), "cut");
+    client.write_all(&m).unwrap();
+    assert!(!receives(&mut server, m.len()), "a cut link forwards nothing");
     relay.change_fault(Direction::FromDialer, |fault| fault.cut = false);
-    assert!(comes(&mut there, m.len()), "late, but whole");
-    relay.change_fault(Direction::FromDialer, |fault| fault.repeat = Duration::from_millis(50));
-    here.write_all(&m).unwrap();
-    assert!(comes(&mut there, 2 * m.len()), "twice");
-    relay.change_fault(Direction::FromDialer, |fault| (fault.repeat, fault.lost) = (Duration::ZERO, 1.0));
-    here.write_all(&m).unwrap();
-    assert!(!comes(&mut there, 1), "lost");
+    assert!(receives(&mut server, m.len()), "forwarded completely after the cut");
+    relay.change_fault(Direction::FromDialer, |fault| fault.repeat_delay = Duration::from_millis(50));
+    client.write_all(&m).unwrap();
+    assert!(receives(&mut server, 2 * m.len()), "sent twice");
+    relay.change_fault(Direction::FromDialer, |fault| {
+        (fault.repeat_delay, fault.drop_fraction) = (Duration::ZERO, 1.0)
+    });
+    client.write_all(&m).unwrap();
+    assert!(!receives(&mut server, 1), "a lost message is not forwarded");
     relay.change_fault(Direction::FromDialer, |fault| {
         *fault = LinkFault { trickle: true, ..LinkFault::default() }
     });
-    here.write_all(&m).unwrap();
-    assert!(comes(&mut there, m.len()), "byte by byte");
+    client.write_all(&m).unwrap();
+    assert!(receives(&mut server, m.len()), "forwarded byte by byte");
     relay.reset();
-    here.write_all(&m).unwrap();
+    client.write_all(&m).unwrap();
     let mut rest = Vec::new();
-    let _ = there.read_to_end(&mut rest);
+    let _ = server.read_to_end(&mut rest);
     assert_eq!(rest.len(), m.len() / 2);
 }
