--- a/crates/stand/src/client.rs
+++ b/crates/stand/src/client.rs
@@ -102,7 +102,7 @@
     acknowledged: u64,
     /// Stamps of writes with an unknown outcome. Each may have been applied, or may still be.
     unknown_outcome: Vec<u64>,
-    /// Whether a request to the block is in flight.
+    /// Whether a request to the block is in flight or waits for a retry.
     in_use: bool,
 }
 
@@ -228,7 +228,7 @@
                 due
             }
             .into_iter()
-            .map(|(_, a)| a)
+            .map(|(_, r)| r)
             .collect();
             due.into_iter().for_each(|request| self.send(&connection, request));
             while next <= Instant::now() {
@@ -244,7 +244,7 @@
                 if let Some(request) = self.draw_request(&mut rng) {
                     self.send(&connection, request);
                     if random_unit(&mut rng) < self.spec.abort_fraction {
-                        connection.abort(|a: &Request| a.stamp == self.next_stamp.load(Ordering::SeqCst) - 1);
+                        connection.abort(|r: &Request| r.stamp == self.next_stamp.load(Ordering::SeqCst) - 1);
                     }
                 }
             }
@@ -364,10 +364,10 @@
             ConnectionEvent::LogoutRequested => {}
             ConnectionEvent::Closed(_, sent, unsent) => {
                 let mut state = lock(&self.state);
-                sent.iter().for_each(|a| state.abandon(a));
+                sent.iter().for_each(|r| state.abandon(r));
                 state.stats.not_sent += unsent.len() as u64;
                 state.stats.sent -= unsent.len() as u64;
-                unsent.iter().for_each(|a| state.release(&a.media));
+                unsent.iter().for_each(|r| state.release(&r.media));
             }
         }
     }
@@ -390,8 +390,8 @@
                 state.stats.refused += 1;
                 if request.retries_left > 0 && !self.stopped.load(Ordering::SeqCst) {
                     request.retries_left -= 1;
-                    let wait = Duration::from_millis(100 * u64::from(done.qualifier.max(1)));
-                    state.retries.push((Instant::now() + wait, request));
+                    let delay = Duration::from_millis(100 * u64::from(done.qualifier.max(1)));
+                    state.retries.push((Instant::now() + delay, request));
                 } else {
                     state.release(&request.media);
                 }
--- a/crates/stand/src/node.rs
+++ b/crates/stand/src/node.rs
@@ -478,7 +478,7 @@
     }
 }
 
-/// Handles the sessions of a node's target.
+/// Serves the commands of a node's sessions.
 struct NodeService(Arc<NodeProcess>);
 
 impl SessionHandler for NodeService {
--- a/crates/trial/src/draw.rs
+++ b/crates/trial/src/draw.rs
@@ -8,7 +8,7 @@
 /// Draws `count` faults for a scenario. The first `voters` of the hosts are voters.
 ///
 /// A fault is left out when it would end a host that another fault ends or stops at the same time, so the
-/// schedule may be shorter. The order of the draws defines the schedule of a seed.
+/// schedule may be shorter. A change in the order of the draws changes the schedule of every seed.
 pub fn draw_schedule(seed: u64, hosts: u16, voters: u16, length: Span, count: usize) -> Vec<EventTable> {
     use EventKind as K;
     const KINDS: [EventKind; 12] = [
@@ -44,7 +44,7 @@
             K::DropLink => Some(f64::from(1 + below(6)) / 10.0),
             _ => None,
         };
-        // A host cannot be ended or stopped while it is already ended or stopped.
+        // A host cannot be ended or stopped again until 300 ms after another fault has ended or stopped it.
         let ends_host = |k: EventKind| matches!(k, K::HostKill | K::HostTerm | K::HostStop);
         let end_ms = |e: &EventTable| e.at.ms() + e.lasts.unwrap_or_default().ms() + 300.0;
         let overlaps = |e: &EventTable| {
--- a/crates/trial/src/processes.rs
+++ b/crates/trial/src/processes.rs
@@ -223,11 +223,11 @@
     fn start(
         &mut self,
         scenario: &Scenario,
-        plan: &HostSettings,
+        settings: &HostSettings,
         directory: SocketAddr,
     ) -> Result<Vec<SocketAddr>, RunError> {
-        self.classes = plan.class_names.clone();
-        self.voters = plan.fleet.as_ref().map_or(0, |f| f.voters.len() as u16);
+        self.classes = settings.class_names.clone();
+        self.voters = settings.fleet.as_ref().map_or(0, |f| f.voters.len() as u16);
         if self.voters > scenario.run.hosts {
             return Err(invalid(format!(
                 "the fleet has {} voters, but the scenario has only {} hosts",
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -1,7 +1,6 @@
 //! A TCP relay on the link from one host to one voter, with injected faults.
 //!
-//! Of the protocol, the relay knows only the message framing: four bytes of length, four of checksum, the
-//! body.
+//! The relay knows only the framing of messages: four bytes of length, four of checksum, then the body.
 
 use pearfork_net::{lock, spawn_small_stack};
 use rand_core::Rng;
@@ -119,14 +118,14 @@
 
     /// Closes each open connection in the middle of its next message.
     pub fn reset(&self) {
-        lock(&self.inner.connections).iter().for_each(|p| p.reset_pending.store(true, Ordering::SeqCst));
+        lock(&self.inner.connections).iter().for_each(|c| c.reset_pending.store(true, Ordering::SeqCst));
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         self.inner.stopped.store(true, Ordering::SeqCst);
-        lock(&self.inner.connections).iter().for_each(|p| p.shutdown());
+        lock(&self.inner.connections).iter().for_each(|c| c.shutdown());
         // Wakes the accepting thread, which then ends.
         let _ = TcpStream::connect(self.address);
     }
@@ -162,7 +161,7 @@
             let spawned = spawn_small_stack("relay-side", move || {
                 let _ = forwarder.run();
                 forwarder.connection.shutdown();
-                lock(&forwarder.inner.connections).retain(|p| !Arc::ptr_eq(p, &forwarder.connection));
+                lock(&forwarder.inner.connections).retain(|c| !Arc::ptr_eq(c, &forwarder.connection));
             });
             if spawned.is_err() {
                 return connection.shutdown();
@@ -262,8 +261,8 @@
     }
 }
 
-/// Reads the next complete message into `partial`. `None` if the read timed out before a message began, or
-/// the relay was stopped.
+/// Returns the next complete message. `partial` holds the part of it that was received so far. `None` if the
+/// read timed out before a message began, or the relay was stopped.
 fn read_message(
     from: &mut TcpStream,
     partial: &mut Vec<u8>,
