--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,13 +1,14 @@
-//! Loads an iSCSI target, times it honestly, and proves what it reads.
+//! Load generator for iSCSI targets that measures latency without coordinated omission and verifies what it
+//! reads.
 //!
-//! [`shape`] draws what comes next, [`oracle`] knows what a block may hold, [`stamp`] writes and reads it: none of them
-//! does I/O or looks at a clock. [`url`] names a unit; [`session`] is the thin shell around one connection; [`run`]
-//! puts sessions together; [`figures`] holds what came of it.
+//! [`workload`] generates requests, [`oracle`] tracks the valid contents of each block, [`stamp`] encodes and
+//! decodes block contents: none of them does I/O or reads a clock. [`url`] parses the address of a unit;
+//! [`session`] runs one connection; [`run`] runs all sessions; [`stats`] holds the results.
 
-pub mod figures;
 pub mod oracle;
 pub mod run;
 pub mod session;
-pub mod shape;
 pub mod stamp;
+pub mod stats;
 pub mod url;
+pub mod workload;
--- a/crates/load/src/oracle.rs
+++ b/crates/load/src/oracle.rs
@@ -1,149 +1,167 @@
-//! What each block may hold: the last write that was acknowledged, or one whose fate is not known.
+//! Tracks the valid contents of each block: the last acknowledged write, or a write of which the outcome is
+//! unknown.
 //!
-//! One session writes a block, one write at a time; so of writes that were acknowledged the last one stands. A write
-//! that failed or was lost may have taken effect, or may yet, and no protocol says until when: it stays possible for
-//! good, and the blocks of which that is so are counted.
+//! Each block is written by one session, one write at a time, so the last acknowledged write is the valid
+//! one. A write that failed or was lost may have taken effect or may still do so, and no protocol bounds the
+//! time: its content stays valid for the rest of the run, and such blocks are counted.
 
-use crate::stamp::Number;
+use crate::stamp::SequenceNumber;
 use std::collections::HashMap;
 
-/// A block's history, as far as it matters.
+/// State of a block.
 #[derive(Clone, Debug, Default)]
-struct Block {
-    acknowledged: Number,
-    /// Writes whose fate is not known.
-    doubtful: Vec<Number>,
-    /// A write on its way.
-    writing: Option<Number>,
-    /// Reads on their way.
-    reading: u32,
+struct BlockHistory {
+    /// The last acknowledged write.
+    acknowledged: SequenceNumber,
+    /// Writes of which the outcome is unknown.
+    uncertain: Vec<SequenceNumber>,
+    /// The write in flight.
+    pending_write: Option<SequenceNumber>,
+    /// Reads in flight.
+    active_reads: u32,
 }
 
-/// Doubtful writes of a block that are kept; beyond it the oldest could show and be called stale.
-const MOST_DOUBTFUL: usize = 64;
+/// Most uncertain writes kept for a block. Beyond it the oldest is dropped, and would be reported as a
+/// mismatch if a read returned it.
+const MAX_UNCERTAIN_WRITES: usize = 64;
 
-/// What a block held that it must not hold.
+/// Invalid contents of a block.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
-    /// An acknowledged write is not there.
-    #[error("block {lba} holds write {found}, and write {wanted} was acknowledged")]
-    Lost {
-        /// The block.
+pub enum Mismatch {
+    /// The block does not hold the last acknowledged write.
+    #[error("block {lba} holds write {found}, but write {expected} was acknowledged")]
+    LostWrite {
+        /// Address of the block.
         lba: u64,
-        /// What it holds.
+        /// Sequence number that it holds.
         found: u64,
-        /// What was acknowledged last.
-        wanted: u64,
+        /// Sequence number of the last acknowledged write.
+        expected: u64,
     },
-    /// It holds what was never written there.
-    #[error("block {lba}: {what}")]
-    Garbage {
-        /// The block.
+    /// The block holds no valid stamp for its address.
+    #[error("block {lba}: {error}")]
+    InvalidStamp {
+        /// Address of the block.
         lba: u64,
-        /// What is wrong with it.
-        what: crate::stamp::StampError,
+        /// Why the stamp is invalid.
+        error: crate::stamp::StampError,
     },
 }
 
-/// How a write ended.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
-    /// GOOD: it is there from now on.
+pub enum WriteOutcome {
+    /// The status was GOOD: later reads must return it.
     Acknowledged,
-    /// Refused: the target promises that it had no effect.
+    /// Refused: the target guarantees that it had no effect.
     Refused,
-    /// Failed, aborted or lost with its connection: it may be there.
+    /// Failed, aborted or lost with its connection: it may have taken effect.
     Unknown,
 }
 
-/// Blocks of one session.
+/// Valid contents of the blocks of one session.
 #[derive(Default)]
 pub struct Oracle {
-    blocks: HashMap<u64, Block>,
-    next: u64,
+    blocks: HashMap<u64, BlockHistory>,
+    last_sequence: u64,
 }
 
 impl Oracle {
-    /// Whether a request may go now: a block that is being written is not read, or written, at the same time, since
-    /// either would be right then.
-    pub fn is_free(&self, lba: u64, blocks: u32, write: bool) -> bool {
-        (lba..lba + u64::from(blocks))
-            .all(|b| self.blocks.get(&b).is_none_or(|b| b.writing.is_none() && !(write && b.reading > 0)))
+    /// Whether a request may be sent now. A block is not read or written while a write of it is in flight,
+    /// nor written while a read is: either content would be valid then, and the read could not be verified.
+    pub fn can_start(&self, lba: u64, blocks: u32, write: bool) -> bool {
+        (lba..lba + u64::from(blocks)).all(|b| {
+            self.blocks.get(&b).is_none_or(|b| b.pending_write.is_none() && !(write && b.active_reads > 0))
+        })
     }
 
-    /// A write begins; the number that its blocks are to be stamped with.
-    pub fn write_begins(&mut self, lba: u64, blocks: u32) -> Number {
-        self.next += 1;
-        let number = Number(self.next);
+    /// Starts a write and returns the sequence number with which its blocks must be stamped.
+    pub fn begin_write(&mut self, lba: u64, blocks: u32) -> SequenceNumber {
+        self.last_sequence += 1;
+        let sequence = SequenceNumber(self.last_sequence);
         for b in lba..lba + u64::from(blocks) {
-            self.blocks.entry(b).or_default().writing = Some(number);
+            self.blocks.entry(b).or_default().pending_write = Some(sequence);
         }
-        number
+        sequence
     }
 
-    /// A write ends.
-    pub fn write_ends(&mut self, lba: u64, blocks: u32, number: Number, end: WriteEnd) {
+    /// Ends a write.
+    pub fn finish_write(&mut self, lba: u64, blocks: u32, sequence: SequenceNumber, outcome: WriteOutcome) {
         for b in lba..lba + u64::from(blocks) {
-            let Some(block) = self.blocks.get_mut(&b).filter(|b| b.writing == Some(number)) else { continue };
-            block.writing = None;
-            match end {
-                WriteEnd::Acknowledged => block.acknowledged = number,
-                WriteEnd::Refused => {}
-                WriteEnd::Unknown => {
-                    if block.doubtful.len() >= MOST_DOUBTFUL {
-                        block.doubtful.remove(0);
+            let Some(block) = self.blocks.get_mut(&b).filter(|b| b.pending_write == Some(sequence)) else {
+                continue;
+            };
+            block.pending_write = None;
+            match outcome {
+                WriteOutcome::Acknowledged => block.acknowledged = sequence,
+                WriteOutcome::Refused => {}
+                WriteOutcome::Unknown => {
+                    if block.uncertain.len() >= MAX_UNCERTAIN_WRITES {
+                        block.uncertain.remove(0);
                     }
-                    block.doubtful.push(number);
+                    block.uncertain.push(sequence);
                 }
             }
         }
     }
 
-    /// A read begins.
-    pub fn read_begins(&mut self, lba: u64, blocks: u32) {
-        (lba..lba + u64::from(blocks)).for_each(|b| self.blocks.entry(b).or_default().reading += 1);
+    /// Starts a read.
+    pub fn begin_read(&mut self, lba: u64, blocks: u32) {
+        (lba..lba + u64::from(blocks)).for_each(|b| self.blocks.entry(b).or_default().active_reads += 1);
     }
 
-    /// A read ends, with its data or without; what is wrong with it.
-    pub fn read_ends(&mut self, lba: u64, blocks: u32, data: Option<&[u8]>, block_len: u32) -> Vec<Wrong> {
-        let mut wrong = Vec::new();
+    /// Ends a read and returns the mismatches in its data; `None` where it returned no data.
+    pub fn finish_read(
+        &mut self,
+        lba: u64,
+        blocks: u32,
+        data: Option<&[u8]>,
+        block_bytes: u32,
+    ) -> Vec<Mismatch> {
+        let mut mismatches = Vec::new();
         for (i, b) in (lba..lba + u64::from(blocks)).enumerate() {
             let block = self.blocks.entry(b).or_default();
-            block.reading = block.reading.saturating_sub(1);
-            let at = i * block_len as usize;
+            block.active_reads = block.active_reads.saturating_sub(1);
+            let at = i * block_bytes as usize;
             let Some(data) = data else { continue };
-            let found = match crate::stamp::read(data.get(at..at + block_len as usize).unwrap_or(&[]), b) {
+            let found = match crate::stamp::read(data.get(at..at + block_bytes as usize).unwrap_or(&[]), b) {
                 Ok(found) => found,
-                Err(what) => {
-                    wrong.push(Wrong::Garbage { lba: b, what });
+                Err(error) => {
+                    mismatches.push(Mismatch::InvalidStamp { lba: b, error });
                     continue;
                 }
             };
-            if found != block.acknowledged && !block.doubtful.contains(&found) {
-                wrong.push(Wrong::Lost { lba: b, found: found.0, wanted: block.acknowledged.0 });
+            if found != block.acknowledged && !block.uncertain.contains(&found) {
+                mismatches.push(Mismatch::LostWrite {
+                    lba: b,
+                    found: found.0,
+                    expected: block.acknowledged.0,
+                });
             }
         }
-        wrong
+        mismatches
     }
 
-    /// Runs of blocks that were written, to be read once more at the end: first and count, `most` blocks at the most.
-    pub fn written(&self, most: u32) -> Vec<(u64, u32)> {
-        let touched = |b: &Block| b.acknowledged > Number(0) || !b.doubtful.is_empty();
-        let mut all: Vec<u64> = self.blocks.iter().filter(|(_, b)| touched(b)).map(|(lba, _)| *lba).collect();
+    /// Returns the ranges of written blocks for the final verification, as first block and count, at most
+    /// `max_blocks` each.
+    pub fn written_ranges(&self, max_blocks: u32) -> Vec<(u64, u32)> {
+        let was_written = |b: &BlockHistory| b.acknowledged > SequenceNumber(0) || !b.uncertain.is_empty();
+        let mut all: Vec<u64> =
+            self.blocks.iter().filter(|(_, b)| was_written(b)).map(|(lba, _)| *lba).collect();
         all.sort_unstable();
-        let mut out: Vec<(u64, u32)> = Vec::new();
+        let mut ranges: Vec<(u64, u32)> = Vec::new();
         for lba in all {
-            match out.last_mut() {
-                Some((first, n)) if *first + u64::from(*n) == lba && *n < most => *n += 1,
-                _ => out.push((lba, 1)),
+            match ranges.last_mut() {
+                Some((first, n)) if *first + u64::from(*n) == lba && *n < max_blocks => *n += 1,
+                _ => ranges.push((lba, 1)),
             }
         }
-        out
+        ranges
     }
 
-    /// Blocks of which more than one content would be right.
-    pub fn in_doubt(&self) -> usize {
-        self.blocks.values().filter(|b| !b.doubtful.is_empty()).count()
+    /// Number of blocks for which more than one content is valid.
+    pub fn uncertain_blocks(&self) -> usize {
+        self.blocks.values().filter(|b| !b.uncertain.is_empty()).count()
     }
 }
 
@@ -156,73 +174,80 @@
         let mut data = vec![0; numbers.len() * 512];
         for (i, (b, n)) in data.chunks_mut(512).zip(numbers).enumerate() {
             if *n > 0 {
-                stamp::write(b, lba + i as u64, Number(*n));
+                stamp::write(b, lba + i as u64, SequenceNumber(*n));
             }
         }
         data
     }
 
-    fn reads(o: &mut Oracle, lba: u64, numbers: &[u64]) -> Vec<Wrong> {
+    fn reads(o: &mut Oracle, lba: u64, numbers: &[u64]) -> Vec<Mismatch> {
         let n = numbers.len() as u32;
-        o.read_begins(lba, n);
-        o.read_ends(lba, n, Some(&image(lba, numbers)), 512)
+        o.begin_read(lba, n);
+        o.finish_read(lba, n, Some(&image(lba, numbers)), 512)
     }
 
-    fn writes(o: &mut Oracle, lba: u64, blocks: u32, end: WriteEnd) -> u64 {
-        let n = o.write_begins(lba, blocks);
-        o.write_ends(lba, blocks, n, end);
+    fn writes(o: &mut Oracle, lba: u64, blocks: u32, outcome: WriteOutcome) -> u64 {
+        let n = o.begin_write(lba, blocks);
+        o.finish_write(lba, blocks, n, outcome);
         n.0
     }
 
     #[test]
-    fn the_last_acknowledged_write_is_what_a_read_must_find() {
+    fn a_read_must_return_the_last_acknowledged_write() {
         let mut o = Oracle::default();
         assert_eq!(reads(&mut o, 5, &[0, 0]), []);
-        let a = writes(&mut o, 5, 2, WriteEnd::Acknowledged);
+        let a = writes(&mut o, 5, 2, WriteOutcome::Acknowledged);
         assert_eq!(reads(&mut o, 5, &[a, a]), []);
-        let b = writes(&mut o, 6, 1, WriteEnd::Acknowledged);
+        let b = writes(&mut o, 6, 1, WriteOutcome::Acknowledged);
         assert_eq!(reads(&mut o, 5, &[a, b]), []);
-        assert_eq!(reads(&mut o, 5, &[a, a]), [Wrong::Lost { lba: 6, found: a, wanted: b }]);
-        assert_eq!(reads(&mut o, 5, &[0, b]), [Wrong::Lost { lba: 5, found: 0, wanted: a }]);
+        assert_eq!(reads(&mut o, 5, &[a, a]), [Mismatch::LostWrite { lba: 6, found: a, expected: b }]);
+        assert_eq!(reads(&mut o, 5, &[0, b]), [Mismatch::LostWrite { lba: 5, found: 0, expected: a }]);
     }
 
     #[test]
-    fn what_was_refused_may_not_show_and_what_failed_may() {
+    fn a_refused_write_must_not_show_and_a_failed_one_may() {
         let mut o = Oracle::default();
-        let a = writes(&mut o, 0, 1, WriteEnd::Acknowledged);
-        let refused = writes(&mut o, 0, 1, WriteEnd::Refused);
-        assert_eq!(reads(&mut o, 0, &[refused]).len(), 1, "a refusal promises that nothing took effect");
-        let failed = writes(&mut o, 0, 1, WriteEnd::Unknown);
+        let a = writes(&mut o, 0, 1, WriteOutcome::Acknowledged);
+        let refused = writes(&mut o, 0, 1, WriteOutcome::Refused);
+        assert_eq!(reads(&mut o, 0, &[refused]).len(), 1, "a refused write must have no effect");
+        let failed = writes(&mut o, 0, 1, WriteOutcome::Unknown);
         assert_eq!((reads(&mut o, 0, &[a]), reads(&mut o, 0, &[failed])), (vec![], vec![]));
-        assert_eq!(o.in_doubt(), 1);
-        let b = writes(&mut o, 0, 1, WriteEnd::Acknowledged);
+        assert_eq!(o.uncertain_blocks(), 1);
+        let b = writes(&mut o, 0, 1, WriteOutcome::Acknowledged);
         assert_eq!(reads(&mut o, 0, &[b]), []);
-        assert_eq!(reads(&mut o, 0, &[a]).len(), 1, "what was overwritten and acknowledged is gone");
+        assert_eq!(
+            reads(&mut o, 0, &[a]).len(),
+            1,
+            "the new write was acknowledged, so the old content is stale"
+        );
     }
 
     #[test]
-    fn torn_and_foreign_blocks_are_told() {
+    fn torn_and_truncated_blocks_are_reported() {
         let mut o = Oracle::default();
-        let a = writes(&mut o, 0, 1, WriteEnd::Acknowledged);
-        o.read_begins(0, 1);
+        let a = writes(&mut o, 0, 1, WriteOutcome::Acknowledged);
+        o.begin_read(0, 1);
         let mut torn = image(0, &[a]);
         torn[300] ^= 1;
-        assert!(matches!(o.read_ends(0, 1, Some(&torn), 512)[..], [Wrong::Garbage { lba: 0, .. }]));
-        o.read_begins(0, 1);
-        assert!(matches!(o.read_ends(0, 1, Some(&[]), 512)[..], [Wrong::Garbage { .. }]), "too short");
+        assert!(matches!(o.finish_read(0, 1, Some(&torn), 512)[..], [Mismatch::InvalidStamp { lba: 0, .. }]));
+        o.begin_read(0, 1);
+        assert!(
+            matches!(o.finish_read(0, 1, Some(&[]), 512)[..], [Mismatch::InvalidStamp { .. }]),
+            "the block is truncated"
+        );
     }
 
     #[test]
-    fn a_block_has_one_write_at_a_time_and_no_read_beside_it() {
+    fn a_block_has_one_write_at_a_time_and_no_concurrent_read() {
         let mut o = Oracle::default();
-        assert!(o.is_free(0, 8, true));
-        let n = o.write_begins(0, 8);
-        assert!(!o.is_free(7, 1, true) && !o.is_free(7, 1, false) && o.is_free(8, 1, true));
-        o.write_ends(0, 8, n, WriteEnd::Acknowledged);
-        o.read_begins(0, 8);
-        assert!(o.is_free(0, 8, false) && !o.is_free(0, 8, true));
-        o.read_ends(0, 8, None, 512);
-        assert!(o.is_free(0, 8, true));
-        assert_eq!(o.written(5), [(0, 5), (5, 3)]);
+        assert!(o.can_start(0, 8, true));
+        let n = o.begin_write(0, 8);
+        assert!(!o.can_start(7, 1, true) && !o.can_start(7, 1, false) && o.can_start(8, 1, true));
+        o.finish_write(0, 8, n, WriteOutcome::Acknowledged);
+        o.begin_read(0, 8);
+        assert!(o.can_start(0, 8, false) && !o.can_start(0, 8, true));
+        o.finish_read(0, 8, None, 512);
+        assert!(o.can_start(0, 8, true));
+        assert_eq!(o.written_ranges(5), [(0, 5), (5, 3)]);
     }
 }
--- a/crates/load/src/url.rs
+++ b/crates/load/src/url.rs
@@ -1,49 +1,51 @@
-//! Where a unit is: `iscsi://HOST:PORT/TARGET/LUN`, as libiscsi writes it.
+//! Addresses of logical units: `iscsi://ADDRESS:PORT/TARGET/LUN`, the URL syntax of libiscsi.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// A unit of a target.
+/// The address of a logical unit of an iSCSI target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UnitUrl {
-    /// Its portal.
+pub struct LunUrl {
+    /// Address and port of the portal.
     pub address: SocketAddr,
-    /// The target's name.
+    /// iSCSI name of the target.
     pub target: String,
-    /// The unit's number.
+    /// Logical unit number.
     pub lun: u16,
 }
 
-/// A URL that names no unit.
+/// A text that is not the URL of a logical unit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is no iscsi://ADDRESS:PORT/TARGET/LUN: {1}")]
+#[error("invalid unit URL `{0}`, expected iscsi://ADDRESS:PORT/TARGET/LUN: {1}")]
 pub struct UrlError(String, &'static str);
 
-impl FromStr for UnitUrl {
+impl FromStr for LunUrl {
     type Err = UrlError;
 
     fn from_str(text: &str) -> Result<Self, UrlError> {
-        let bad = |what| UrlError(text.to_owned(), what);
-        let rest = text.strip_prefix("iscsi://").ok_or(bad("it does not begin with iscsi://"))?;
+        let error = |problem| UrlError(text.to_owned(), problem);
+        let rest = text.strip_prefix("iscsi://").ok_or(error("it does not begin with iscsi://"))?;
         let mut parts = rest.splitn(3, '/');
         let portal = parts.next().unwrap_or("");
         let address = match portal.parse::<SocketAddr>() {
             Ok(address) => address,
-            // RFC 7143 gives 3260 as the port.
+            // 3260 is the default port of iSCSI (RFC 7143).
             Err(_) => format!("{portal}:3260")
                 .parse()
-                .map_err(|_| bad("the portal is no IP address with a port"))?,
+                .map_err(|_| error("the portal must be an IP address, with or without a port"))?,
         };
-        let target =
-            parts.next().filter(|t| !t.is_empty() && t.len() <= 223).ok_or(bad("no target's name"))?;
-        let lun = parts.next().ok_or(bad("no unit number"))?;
+        let target = parts
+            .next()
+            .filter(|t| !t.is_empty() && t.len() <= 223)
+            .ok_or(error("the target name is missing or longer than 223 bytes"))?;
+        let lun = parts.next().ok_or(error("the unit number is missing"))?;
         let lun =
-            lun.parse().ok().filter(|l| *l < 16_384).ok_or(bad("the unit number must be below 16384"))?;
-        Ok(UnitUrl { address, target: target.to_owned(), lun })
+            lun.parse().ok().filter(|l| *l < 16_384).ok_or(error("the unit number must be below 16384"))?;
+        Ok(LunUrl { address, target: target.to_owned(), lun })
     }
 }
 
-impl std::fmt::Display for UnitUrl {
+impl std::fmt::Display for LunUrl {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "iscsi://{}/{}/{}", self.address, self.target, self.lun)
     }
@@ -54,21 +56,21 @@
     use super::*;
 
     #[test]
-    fn urls_name_portal_target_and_unit_or_say_what_is_missing() {
-        let url: UnitUrl = "iscsi://127.0.0.1/iqn.2026-12.org.pearfork:demo/0".parse().unwrap();
+    fn valid_urls_are_parsed_and_errors_name_the_invalid_part() {
+        let url: LunUrl = "iscsi://127.0.0.1/iqn.2026-12.org.pearfork:demo/0".parse().unwrap();
         assert_eq!((url.address.port(), url.lun), (3260, 0));
         assert_eq!(url.to_string(), "iscsi://127.0.0.1:3260/iqn.2026-12.org.pearfork:demo/0");
-        assert_eq!("iscsi://[::1]:9/t/7".parse::<UnitUrl>().unwrap().lun, 7);
-        for (text, what) in [
+        assert_eq!("iscsi://[::1]:9/t/7".parse::<LunUrl>().unwrap().lun, 7);
+        for (text, problem) in [
             ("http://127.0.0.1/t/0", "iscsi://"),
-            ("iscsi://somewhere/t/0", "no IP address"),
-            ("iscsi://127.0.0.1", "no target"),
-            ("iscsi://127.0.0.1/t", "no unit number"),
+            ("iscsi://somewhere/t/0", "must be an IP address"),
+            ("iscsi://127.0.0.1", "the target name is missing"),
+            ("iscsi://127.0.0.1/t", "the unit number is missing"),
             ("iscsi://127.0.0.1/t/16384", "below 16384"),
             ("iscsi://127.0.0.1/t/0/1", "below 16384"),
         ] {
-            let told = text.parse::<UnitUrl>().unwrap_err().to_string();
-            assert!(told.contains(what), "{told}");
+            let error = text.parse::<LunUrl>().unwrap_err().to_string();
+            assert!(error.contains(problem), "{error}");
         }
     }
 }
