--- a/crates/day/benches/retries.rs
+++ b/crates/day/benches/retries.rs
@@ -1,7 +1,9 @@
-//! A third of the nodes hang, and near full load a third are slow: a host with a retry budget, spread and second copies,
-//! and one that tries again at once as often as it may. Turn about, in one run.
+//! Compares retry policies while a third of the nodes hang, and while a third are slow near full load:
+//! immediate retries without a budget against time-outs with a retry budget and spread, with and without
+//! hedged attempts. The policies alternate within one run.
 //!
-//! `cargo bench -p pearfork-day --bench retries` prints a table for `docs/results/`. No figure here is a test.
+//! `cargo bench -p pearfork-day --bench retries` prints a table for `docs/results/`. The results are not
+//! tested.
 
 use pearfork_day::host_runner::InProcessRunner;
 use pearfork_day::scenario::Scenario;
@@ -10,12 +12,12 @@
 use pearfork_rulecheck::wire::CommandMetadata;
 use pearfork_rulecheck::{Endpoint, TraceEventKind};
 
-const HOSTS: &str = include_str!("../days/bad-day-hosts.toml");
+const SETTINGS: &str = include_str!("../days/bad-day-hosts.toml");
 const ROUNDS: usize = 2;
 
-/// Six nodes, two to a shard; one of each of two shards has a trouble for half of the day.
-fn day(rate: u32, trouble: &str) -> Scenario {
-    let trouble = |node: u32| format!("[[event]]\nat = \"2s\"\nnode = {node}\nfor = \"4s\"\n{trouble}\n");
+/// Six nodes, two for each shard; one node of each of two shards has a fault for half of the run.
+fn scenario(rate: u32, fault: &str) -> Scenario {
+    let event = |node: u32| format!("[[event]]\nat = \"2s\"\nnode = {node}\nfor = \"4s\"\n{fault}\n");
     let text = format!(
         r#"
 [day]
@@ -43,17 +45,17 @@
 volume = "exports"
 rate = 30
 {}{}"#,
-        trouble(1),
-        trouble(5)
+        event(1),
+        event(5)
     );
     Scenario::from_toml(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn settings(class_terms: &str, budget: bool, second_copies: bool) -> HostSettings {
-    let mut text = HOSTS.replace("[0, 1, 2, 3]", "[0, 1, 2]").replace("[1, 2, 3, 0]", "[1, 2, 0]");
+fn settings(class_terms: &str, budget: bool, hedging: bool) -> HostSettings {
+    let mut text = SETTINGS.replace("[0, 1, 2, 3]", "[0, 1, 2]").replace("[1, 2, 3, 0]", "[1, 2, 0]");
     let name = "name = \"small-read\"\n";
     text = text.replacen(name, &format!("{name}{class_terms}\n"), 1);
-    let max = format!("max_attempts = 8\nsecond_copies = {second_copies}");
+    let max = format!("max_attempts = 8\nsecond_copies = {hedging}");
     text = text.replacen("max_attempts = 4", &max, 1);
     if !budget {
         text = text.lines().filter(|l| !l.starts_with("retry_budget")).collect::<Vec<_>>().join("\n");
@@ -66,13 +68,14 @@
     late: u64,
     refused: u64,
     failed: u64,
-    further: usize,
-    broken: usize,
+    retries: usize,
+    violations: usize,
 }
 
 fn row(r: &RunResult) -> Row {
-    let sum = |f: fn(&pearfork_host::counts::ClassCounts) -> u64| r.hosts.iter().flatten().map(f).sum();
-    let further = r.notes.iter().filter(|n| match &n.kind {
+    let sum =
+        |f: fn(&pearfork_host::counts::ClassCounts) -> u64| r.class_counts.iter().flatten().map(f).sum();
+    let retries = r.events.iter().filter(|n| match &n.kind {
         TraceEventKind::Pdu { endpoint: Endpoint::Node { .. }, sent: false, header, .. } => {
             CommandMetadata::find(&header.extra).is_some_and(|t| t.attempt > 0)
         }
@@ -83,17 +86,19 @@
         late: sum(|c| c.late),
         refused: sum(|c| c.refused),
         failed: sum(|c| c.failed),
-        further: further.count(),
-        broken: r.rules.0.iter().map(|f| f.violations.len()).sum(),
+        retries: retries.count(),
+        violations: r.rules.0.iter().map(|f| f.violations.len()).sum(),
     }
 }
 
 fn main() {
-    let days =
-        [("hang, 600/s", day(90, "do = \"hang\"")), ("slow, 1,260/s", day(200, "do = \"slow\"\ntimes = 6"))];
-    let kinds = [
+    let scenarios = [
+        ("hang, 600/s", scenario(90, "do = \"hang\"")),
+        ("slow, 1,260/s", scenario(200, "do = \"slow\"\ntimes = 6")),
+    ];
+    let policies = [
         (
-            "naive: 8 attempts of 150 ms, at once, no budget",
+            "naive: 8 attempts of 150 ms, immediate, no budget",
             settings("attempt = \"150ms\"\nattempts = 8", false, false),
         ),
         (
@@ -105,7 +110,7 @@
             ),
         ),
         (
-            "time-outs, budget, second copies",
+            "time-outs, budget, hedged attempts",
             settings(
                 "attempt = \"300ms\"\nattempts = 3\nretry_spread = \"40ms\"\nsecond_copy_after = \"60ms\"",
                 true,
@@ -114,12 +119,14 @@
         ),
     ];
     println!(
-        "| day | hosts | served in time | late | refused | failed | further attempts | breaches of rules |"
+        "| scenario | retry policy | served in time | late | refused | failed | retries and hedged attempts | rule violations |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for round in 1..=ROUNDS {
-        for ((what, day), (name, plan)) in days.iter().flat_map(|d| kinds.iter().map(move |k| (d, k))) {
-            let result = run_scenario(day, plan, &mut InProcessRunner::default(), |_, _| {})
+        for ((what, scenario), (name, host_settings)) in
+            scenarios.iter().flat_map(|d| policies.iter().map(move |k| (d, k)))
+        {
+            let result = run_scenario(scenario, host_settings, &mut InProcessRunner::default(), |_, _| {})
                 .unwrap_or_else(|e| panic!("{e}"));
             let r = row(&result);
             println!(
@@ -128,8 +135,8 @@
                 r.late,
                 r.refused,
                 r.failed,
-                r.further,
-                r.broken
+                r.retries,
+                r.violations
             );
         }
     }
--- a/crates/day/src/expectations.rs
+++ b/crates/day/src/expectations.rs
@@ -1,4 +1,5 @@
-//! What a day promises of a volume's use, beyond the rules: told from what came to nodes.
+//! Expectations of a scenario for the use of volumes, beyond the rules, evaluated from the attempts that
+//! nodes received.
 
 use crate::scenario::ExpectTable;
 use pearfork_host::settings::HostSettings;
@@ -6,50 +7,55 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// One expectation, and what came.
+/// Result of one expectation.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ExpectationResult {
     /// The volume.
     pub volume: String,
-    /// Seconds of the record between which it counts.
+    /// Start and end of the evaluated period, seconds of the scenario.
     #[serde(rename = "between_s")]
     pub window_s: (f64, f64),
-    /// Units a second that all hosts sent, first sendings alone, as a part of the volume's limit.
+    /// Units per second sent by all hosts, without retries and hedged attempts, as a fraction of the volume's
+    /// limit.
     #[serde(rename = "came")]
     pub measured: f64,
-    /// What it must be at the least, and at the most.
+    /// Least and greatest fraction that meets the expectation.
     #[serde(rename = "wanted")]
     pub bounds: (f64, f64),
-    /// Whether it is.
+    /// Whether the measured fraction lies within the bounds.
     #[serde(rename = "right")]
     pub met: bool,
 }
 
-/// Judges a day's expectations. `began_us` is when the day's clock began in the record.
+/// Evaluates the expectations of a scenario. `scenario_start_us` is the start of the scenario in the time of
+/// the trace.
 pub fn evaluate(
-    expect: &[ExpectTable],
-    plan: &HostSettings,
+    expectations: &[ExpectTable],
+    settings: &HostSettings,
     trace: &Trace,
-    began_us: u64,
+    scenario_start_us: u64,
 ) -> Vec<ExpectationResult> {
-    // Each request draws its units at its first sending.
-    let mut first: HashMap<_, (u64, u32, f64)> = HashMap::new();
+    // A request consumes the units of its volume once, when its first attempt is sent.
+    let mut first_attempts: HashMap<_, (u64, u32, f64)> = HashMap::new();
     for a in &trace.attempts {
         let t = &a.metadata;
         let key = (t.host, t.host_start_s, t.session, t.cmd_sn, t.part);
-        first.entry(key).or_insert((a.received_us, t.volume, f64::from(t.milli_units) / 1_000.0));
+        first_attempts.entry(key).or_insert((a.received_us, t.volume, f64::from(t.milli_units) / 1_000.0));
     }
-    let one = |e: &ExpectTable| {
-        let volume = plan.volumes.iter().find(|v| v.name == e.volume);
-        let limit = volume.map_or(0.0, |v| plan.scheduler.plans[usize::from(v.plan)].limit);
+    let evaluate_one = |e: &ExpectTable| {
+        let volume = settings.volumes.iter().find(|v| v.name == e.volume);
+        let limit = volume.map_or(0.0, |v| settings.scheduler.plans[usize::from(v.plan)].limit);
         let id = volume.map_or(u32::MAX, |v| v.id.0);
-        let at = |ms: f64| began_us + (ms * 1_000.0) as u64;
-        let within = at(e.from.ms())..at(e.to.ms());
-        let units: f64 =
-            first.values().filter(|(us, v, _)| *v == id && within.contains(us)).map(|(.., u)| u).sum();
-        let span_s = (e.to.ms() - e.from.ms()).max(1.0) / 1_000.0;
-        // A sum of nothing is -0.0.
-        let measured = (units / span_s / limit.max(1e-9)).max(0.0);
+        let at = |ms: f64| scenario_start_us + (ms * 1_000.0) as u64;
+        let window = at(e.from.ms())..at(e.to.ms());
+        let units: f64 = first_attempts
+            .values()
+            .filter(|(us, v, _)| *v == id && window.contains(us))
+            .map(|(.., u)| u)
+            .sum();
+        let window_length_s = (e.to.ms() - e.from.ms()).max(1.0) / 1_000.0;
+        // An empty sum of f64 is -0.0, which would be printed with its sign.
+        let measured = (units / window_length_s / limit.max(1e-9)).max(0.0);
         let bounds = (e.at_least, e.at_most.unwrap_or(f64::INFINITY));
         ExpectationResult {
             volume: e.volume.clone(),
@@ -59,5 +65,5 @@
             met: measured >= bounds.0 && measured <= bounds.1,
         }
     };
-    expect.iter().map(one).collect()
+    expectations.iter().map(evaluate_one).collect()
 }
--- a/crates/day/src/host_runner.rs
+++ b/crates/day/src/host_runner.rs
@@ -1,4 +1,4 @@
-//! Who runs the hosts of a day: this process, or processes of their own.
+//! Runs the hosts of a scenario: in this process, or through another implementation in separate processes.
 
 use crate::run::RunError;
 use crate::scenario::{EventKind, EventTable, Scenario};
@@ -8,43 +8,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// By class, and refusals and failures by reason.
+/// Counts of a host: by class, and its refusals and failures by reason.
 pub type HostCounts = (Vec<ClassCounts>, ReasonCounts);
 
-/// Runs the hosts of a day.
+/// Starts, disturbs and stops the hosts of a scenario.
 pub trait HostRunner {
-    /// Starts all hosts; where clients find each.
+    /// Starts all hosts and returns the address at which clients connect to each.
     ///
     /// # Errors
-    /// One could not start.
+    /// Returns an error if a host could not start.
     fn start(
         &mut self,
-        day: &Scenario,
-        plan: &HostSettings,
+        scenario: &Scenario,
+        settings: &HostSettings,
         directory: SocketAddr,
     ) -> Result<Vec<SocketAddr>, RunError>;
-    /// Starts one again that was killed.
+    /// Restarts a host that was killed.
     ///
     /// # Errors
-    /// It could not start.
+    /// Returns an error if it could not start.
     fn restart(&mut self, host: u16) -> Result<(), RunError>;
-    /// Kills one outright; false where it was not there.
+    /// Kills a host without shutting it down. Returns `false` if it was not running.
     fn kill(&mut self, host: u16) -> bool;
-    /// Lets one stand still for so long.
-    fn stall(&mut self, host: u16, span: Duration);
-    /// What one counted since it started; none where it can't be asked.
+    /// Stalls a host for a duration.
+    fn stall(&mut self, host: u16, duration: Duration);
+    /// Returns what a host has counted since it started, or `None` if it cannot be queried.
     fn counts(&self, host: u16) -> Option<HostCounts>;
-    /// A trouble that only processes can have begins or ends.
+    /// Starts or ends a fault that requires hosts in separate processes.
     ///
     /// # Errors
-    /// It can't be brought about here.
-    fn set_fault(&mut self, event: &EventTable, begins: bool) -> Result<(), RunError>;
-    /// Stops all that still run, in order.
+    /// Returns an error if this runner does not support the fault.
+    fn set_fault(&mut self, event: &EventTable, active: bool) -> Result<(), RunError>;
+    /// Shuts down all hosts that still run.
     fn stop(&mut self);
 }
 
 impl EventKind {
-    /// Whether only hosts in processes of their own can have it.
+    /// Whether this kind of fault requires hosts in separate processes.
     pub fn needs_host_processes(self) -> bool {
         use EventKind as K;
         matches!(
@@ -65,50 +65,53 @@
     }
 }
 
-/// All hosts in this process.
+/// Runs all hosts in this process.
 #[derive(Default)]
 pub struct InProcessRunner {
     hosts: Vec<Option<Host>>,
-    plans: Vec<HostSettings>,
+    settings_by_host: Vec<HostSettings>,
 }
 
 impl HostRunner for InProcessRunner {
     fn start(
         &mut self,
-        day: &Scenario,
-        plan: &HostSettings,
+        scenario: &Scenario,
+        settings: &HostSettings,
         directory: SocketAddr,
     ) -> Result<Vec<SocketAddr>, RunError> {
-        if let Some(e) = day.events.iter().find(|e| e.what.needs_host_processes()) {
-            let words =
-                format!("{:?} needs hosts in processes of their own: pearfork-trial plays them", e.what);
-            return Err(RunError::Invalid(words));
+        if let Some(e) = scenario.events.iter().find(|e| e.what.needs_host_processes()) {
+            let message = format!(
+                "{:?} requires hosts in separate processes, run the scenario with pearfork-trial",
+                e.what
+            );
+            return Err(RunError::Invalid(message));
         }
-        if plan.fleet.is_some() {
-            let words = "hosts with a [fleet] need processes of their own: pearfork-trial plays them";
-            return Err(RunError::Invalid(words.to_owned()));
+        if settings.fleet.is_some() {
+            let message =
+                "hosts with a [fleet] require separate processes, run the scenario with pearfork-trial";
+            return Err(RunError::Invalid(message.to_owned()));
         }
-        let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        for number in 0..day.run.hosts {
-            let mut own = plan.clone();
-            own.number = number;
-            own.scheduler.hosts = u32::from(day.run.hosts);
-            for v in &mut own.volumes {
-                v.hosts = u32::from(day.run.hosts);
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        for number in 0..scenario.run.hosts {
+            let mut host_settings = settings.clone();
+            host_settings.number = number;
+            host_settings.scheduler.hosts = u32::from(scenario.run.hosts);
+            for v in &mut host_settings.volumes {
+                v.hosts = u32::from(scenario.run.hosts);
             }
-            (own.listen, own.http, own.directory) = (anywhere, None, directory);
-            own.seed = Some(day.run.seed.wrapping_mul(1_000).wrapping_add(u64::from(number)));
-            let host = Host::start(own.clone())?;
-            own.listen = host.address();
+            (host_settings.listen, host_settings.http, host_settings.directory) = (any_port, None, directory);
+            host_settings.seed = Some(scenario.run.seed.wrapping_mul(1_000).wrapping_add(u64::from(number)));
+            let host = Host::start(host_settings.clone())?;
+            host_settings.listen = host.address();
             self.hosts.push(Some(host));
-            self.plans.push(own);
+            self.settings_by_host.push(host_settings);
         }
-        Ok(self.plans.iter().map(|p| p.listen).collect())
+        Ok(self.settings_by_host.iter().map(|p| p.listen).collect())
     }
 
     fn restart(&mut self, host: u16) -> Result<(), RunError> {
-        let i = usize::from(host);
-        self.hosts[i] = Some(Host::start(self.plans[i].clone())?);
+        let index = usize::from(host);
+        self.hosts[index] = Some(Host::start(self.settings_by_host[index].clone())?);
         Ok(())
     }
 
@@ -118,9 +121,9 @@
         host.is_some()
     }
 
-    fn stall(&mut self, host: u16, span: Duration) {
+    fn stall(&mut self, host: u16, duration: Duration) {
         if let Some(h) = self.hosts.get(usize::from(host)).and_then(Option::as_ref) {
-            h.stall_engine(span);
+            h.stall_engine(duration);
         }
     }
 
@@ -129,7 +132,7 @@
     }
 
     fn set_fault(&mut self, event: &EventTable, _: bool) -> Result<(), RunError> {
-        Err(RunError::Invalid(format!("{:?} needs hosts in processes of their own", event.what)))
+        Err(RunError::Invalid(format!("{:?} requires hosts in separate processes", event.what)))
     }
 
     fn stop(&mut self) {
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -1,7 +1,9 @@
-//! Scripted days on loopback: nodes, hosts and clients, troubles at their times, and the proof of the seven rules.
+//! Scenario runner on loopback: runs nodes, hosts and clients, injects faults at scheduled times, and checks
+//! the seven rules.
 //!
-//! [`script`] is the day as a file, [`play()`] plays it with a [`crew`] that runs its hosts, [`figures`] puts what the hosts are told into the words of the
-//! checker of rules, [`judge()`] judges a record, [`summary`] says what came of it.
+//! [`scenario`] parses scenario files, [`run_scenario()`] runs one with a [`host_runner`],
+//! [`rule_parameters`] derives the parameters of the rule checker from the settings of the hosts,
+//! [`check_recording()`] checks a recording, [`summary`] reports the result.
 
 pub mod expectations;
 pub mod host_runner;
@@ -18,19 +20,19 @@
 use pearfork_host::settings::HostSettings;
 use std::path::Path;
 
-/// A short bad day, and the settings of its hosts: what the demo plays.
+/// Text of a short scenario with faults, and of the settings of its hosts: both are used by the demo.
 pub const DEMO: (&str, &str) =
     (include_str!("../days/bad-day.toml"), include_str!("../days/bad-day-hosts.toml"));
 
-/// A day's text and the plan of its hosts, as a command line names them. What the operator is to be told of the settings goes
-/// to standard error.
+/// Reads the text of a scenario and the settings of its hosts, as named on a command line. Warnings about the
+/// settings are printed to standard error.
 ///
 /// # Errors
-/// A file that can't be read, or settings that are refused, in words.
-pub fn load_inputs(day: &Path, settings: &SettingsArguments) -> Result<(String, HostSettings), String> {
-    let text = std::fs::read_to_string(day).map_err(|e| format!("{}: {e}", day.display()))?;
-    let plan = HostSettings::load_with(&settings.config, &settings.overrides())
-        .map_err(|e| format!("the settings are refused\n{e}"))?;
-    plan.warnings.iter().for_each(|w| eprintln!("{w}"));
-    Ok((text, plan))
+/// Returns a message if a file cannot be read or the settings are invalid.
+pub fn load_inputs(scenario: &Path, settings: &SettingsArguments) -> Result<(String, HostSettings), String> {
+    let text = std::fs::read_to_string(scenario).map_err(|e| format!("{}: {e}", scenario.display()))?;
+    let host_settings = HostSettings::load_with(&settings.config, &settings.overrides())
+        .map_err(|e| format!("invalid settings:\n{e}"))?;
+    host_settings.warnings.iter().for_each(|w| eprintln!("{w}"));
+    Ok((text, host_settings))
 }
--- a/crates/day/src/main.rs
+++ b/crates/day/src/main.rs
@@ -1,4 +1,4 @@
-//! `pearfork-day`: plays a scripted day on loopback, records it, and proves the seven rules.
+//! `pearfork-day`: runs a scenario on loopback, records it, and checks the seven rules.
 
 use clap::{Parser, Subcommand};
 use pearfork_cli::{CommonArguments, Exit, SettingsArguments};
@@ -12,8 +12,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plays scripted days of troubles on loopback, and proves the seven rules from what passed over the sockets. Exit
-/// codes: 0 fine, 1 a rule was broken, a block was stale or a node fell over, 2 nothing could be played.
+/// Runs scenarios with faults on loopback, and checks the seven rules against the traffic on the sockets.
+/// Exit codes: 0 success, 1 a rule was violated, a block was stale, a node crashed or an expectation was not
+/// met, 2 the scenario could not be run.
 #[derive(Parser)]
 #[command(name = "pearfork-day", version, about)]
 struct Arguments {
@@ -31,19 +32,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day.
+    /// Run a scenario.
     Play {
-        /// The day.
+        /// Scenario file.
         day: PathBuf,
         #[command(flatten)]
         settings: SettingsArguments,
-        /// Write the record here, for `pearfork-replay` and `pearfork-report`.
+        /// Write a recording to this file, for `pearfork-replay` and `pearfork-report`.
         #[arg(long)]
         record: Option<PathBuf>,
     },
-    /// Play the short bad day that comes with the program.
+    /// Run the short scenario with faults that is built into the program.
     Demo {
-        /// Write the record here.
+        /// Write a recording to this file.
         #[arg(long)]
         record: Option<PathBuf>,
     },
@@ -56,55 +57,58 @@
 }
 
 fn main() -> ExitCode {
-    pearfork_cli::run(work)
+    pearfork_cli::run(run_command)
 }
 
-fn work(arguments: Arguments) -> Result<Exit, String> {
+fn run_command(arguments: Arguments) -> Result<Exit, String> {
     match &arguments.command {
         Command::Play { day, settings, record } => {
-            let (text, plan) = load_inputs(day, settings)?;
-            run(&day.display().to_string(), &text, &plan, record.as_deref(), &arguments.common)
+            let (text, host_settings) = load_inputs(day, settings)?;
+            run(&day.display().to_string(), &text, &host_settings, record.as_deref(), &arguments.common)
+        }
+        Command::Demo { record } => {
+            HostSettings::from_toml(DEMO.1).map_err(|e| format!("invalid settings:\n{e}")).and_then(
+                |host_settings| run("demo", DEMO.0, &host_settings, record.as_deref(), &arguments.common),
+            )
         }
-        Command::Demo { record } => HostSettings::from_toml(DEMO.1)
-            .map_err(|e| format!("settings:\n{e}"))
-            .and_then(|plan| run("demo", DEMO.0, &plan, record.as_deref(), &arguments.common)),
     }
 }
 
 fn run(
     name: &str,
-    day: &str,
-    plan: &HostSettings,
+    text: &str,
+    host_settings: &HostSettings,
     record: Option<&Path>,
     common: &CommonArguments,
 ) -> Result<Exit, String> {
     let output = common.output;
-    let day = Scenario::from_toml(day).map_err(|e| format!("{name}: {e}"))?;
-    // A place that can't be written is told before the day is played, not after.
+    let scenario = Scenario::from_toml(text).map_err(|e| format!("{name}: {e}"))?;
+    // The file is created first, so that a path that cannot be written is reported before the run and not
+    // after it.
     let file = record
         .map(|path| std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display())))
         .transpose()?;
-    let told = |at: Duration, words: &str| {
+    let print_progress = |at: Duration, words: &str| {
         let at_s = at.as_secs_f64();
         output.print(&Progress { at_s, words }, &format!("{at_s:6.2} s  {words}\n"));
     };
-    told(
+    print_progress(
         Duration::ZERO,
         &format!(
-            "{} nodes, {} hosts, {} kinds of clients, {} troubles, {:.0} s",
-            day.nodes.count,
-            day.run.hosts,
-            day.clients.len(),
-            day.events.len(),
-            day.run.length.ms() / 1_000.0
+            "{} nodes, {} hosts, {} groups of clients, {} events, {:.0} s",
+            scenario.nodes.count,
+            scenario.run.hosts,
+            scenario.clients.len(),
+            scenario.events.len(),
+            scenario.run.length.ms() / 1_000.0
         ),
     );
-    let result =
-        run_scenario(&day, plan, &mut InProcessRunner::default(), told).map_err(|e| e.to_string())?;
+    let result = run_scenario(&scenario, host_settings, &mut InProcessRunner::default(), print_progress)
+        .map_err(|e| e.to_string())?;
     let summary = Summary::new(&result);
     output.print(&summary, &summary.render(output));
     if let (Some(file), Some(path)) = (file, record) {
-        let recording = result.recording(name, &day, plan);
+        let recording = result.recording(name, &scenario, host_settings);
         pearfork_record::write(std::io::BufWriter::new(file), &recording)
             .map_err(|e| format!("{}: {e}", path.display()))?;
     }
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -1,287 +1,310 @@
-//! A scripted day as a TOML file: nodes, clients, and troubles at their times.
+//! Scenario files in TOML: nodes, clients, and faults at scheduled times.
 
 use pearfork_host::units::Span;
 use serde::Deserialize;
 
-/// A day.
+/// A scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Length, hosts, seed.
+    /// Settings of the run: length, hosts, seed.
     #[serde(rename = "day")]
     pub run: RunTable,
-    /// The nodes.
+    /// The fake nodes.
     pub nodes: NodesTable,
-    /// The clients.
+    /// Groups of fake clients.
     #[serde(rename = "client")]
     pub clients: Vec<ClientTable>,
-    /// The troubles.
+    /// Faults and other events.
     #[serde(rename = "event", default)]
     pub events: Vec<EventTable>,
-    /// What is promised of volumes with a limit.
+    /// Expectations for volumes with a limit.
     #[serde(rename = "expect", default)]
     pub expectations: Vec<ExpectTable>,
 }
 
-/// A promise of how much of a volume's limit is used, in a stretch of the day.
+/// Expectation of how much of a volume's limit is used in a period of the scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExpectTable {
-    /// The volume; its plan has a limit.
+    /// Name of the volume; its plan must have a limit.
     pub volume: String,
-    /// From when.
+    /// Start of the period.
     pub from: Span,
-    /// To when.
+    /// End of the period.
     pub to: Span,
-    /// Part of the limit at the least.
+    /// Least fraction of the limit.
     pub at_least: f64,
-    /// And at the most.
+    /// Greatest fraction of the limit; unbounded if absent.
     pub at_most: Option<f64>,
 }
 
-/// Length, hosts, seed.
+/// Settings of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunTable {
-    /// How long clients offer load.
+    /// How long clients send requests.
     pub length: Span,
-    /// Seed of all draws.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Hosts that share nothing.
+    /// Number of hosts.
     pub hosts: u16,
-    /// How late hosts learn of what the directory learns.
-    #[serde(default)]
-    pub directory_late: Span,
-    /// How much later than it happened a thing may be noted.
-    #[serde(default = "margin")]
+    /// Delay with which the directory passes changes on to hosts.
+    #[serde(rename = "directory_late", default)]
+    pub directory_delay: Span,
+    /// Tolerance of the rule checker: how much later than it happened an event may be recorded.
+    #[serde(default = "default_margin")]
     pub margin: Span,
 }
 
-fn margin() -> Span {
+fn default_margin() -> Span {
     Span::from_ms(300.0)
 }
 
-/// The nodes, all alike, their shards from 0 on; ids count from 1.
+/// The nodes, all with the same settings. Shards are numbered from 0, node ids from 1.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodesTable {
-    /// How many.
+    /// Number of nodes.
     pub count: u16,
-    /// Racks over which they are dealt out; those of one share the memory of keys.
+    /// Racks over which the nodes are distributed; the nodes of a rack share their memory of idempotency
+    /// keys.
     #[serde(default = "one")]
     pub racks: u16,
-    /// Nodes that hold the same shard.
+    /// Nodes that serve the same shard.
     #[serde(default = "one")]
     pub replicas: u16,
-    /// Cores of each.
+    /// Cores of each node.
     pub cores: u16,
-    /// Requests that wait at the most.
-    pub waiting: u16,
-    /// Work of one unit on one warm core.
-    pub work: Span,
-    /// Part of a write's work that is put off.
-    #[serde(default)]
-    pub deferred: f64,
-    /// How long a rack drops repeats.
-    pub repeats_dropped: Span,
+    /// Capacity of the request queue of a node; it rejects requests beyond it.
+    #[serde(rename = "waiting")]
+    pub queue_capacity: u16,
+    /// Processing time of one unit on a core of a warm node.
+    #[serde(rename = "work")]
+    pub unit_work: Span,
+    /// Fraction of the work of a write that is done after its response.
+    #[serde(rename = "deferred", default)]
+    pub deferred_fraction: f64,
+    /// How long a rack remembers idempotency keys and suppresses repeats.
+    #[serde(rename = "repeats_dropped")]
+    pub repeat_window: Span,
 }
 
 fn one() -> u16 {
     1
 }
 
-/// Clients that are alike.
+/// A group of clients with the same settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientTable {
-    /// Name; the clients of several have a number after it.
+    /// Name of the group, followed by a number for each client.
     pub name: String,
-    /// How many.
+    /// Number of clients.
     #[serde(default = "one")]
     pub count: u16,
-    /// Name of the volume; each client has an even part of it alone.
+    /// Name of the volume; each client uses an equal share of its blocks exclusively.
     pub volume: String,
-    /// The host that they all use; dealt out over all hosts where absent.
+    /// Number of the host that they all use; distributed over all hosts if absent.
     pub host: Option<u16>,
-    /// Requests a second of each.
+    /// Requests per second of each client.
     pub rate: f64,
-    /// Part that writes.
-    #[serde(default)]
-    pub writes: f64,
-    /// Part that compares and writes.
-    #[serde(default)]
-    pub compares: f64,
-    /// Part that flushes.
-    #[serde(default)]
-    pub flushes: f64,
-    /// Blocks of a small request.
-    #[serde(default = "eight")]
-    pub small: u32,
-    /// Blocks of a large read.
-    #[serde(default = "large")]
-    pub large: u32,
-    /// Part of the reads that is large.
-    #[serde(default)]
-    pub large_part: f64,
-    /// Part that is aborted soon after.
-    #[serde(default)]
-    pub aborts: f64,
-    /// How often a refused request comes again.
-    #[serde(default)]
-    pub retries: u32,
+    /// Fraction of the requests that are writes.
+    #[serde(rename = "writes", default)]
+    pub write_fraction: f64,
+    /// Fraction that are COMPARE AND WRITE.
+    #[serde(rename = "compares", default)]
+    pub compare_and_write_fraction: f64,
+    /// Fraction that are flushes.
+    #[serde(rename = "flushes", default)]
+    pub flush_fraction: f64,
+    /// Size of a small request in blocks.
+    #[serde(rename = "small", default = "default_small_blocks")]
+    pub small_blocks: u32,
+    /// Size of a large read in blocks.
+    #[serde(rename = "large", default = "default_large_blocks")]
+    pub large_blocks: u32,
+    /// Fraction of the reads that are large.
+    #[serde(rename = "large_part", default)]
+    pub large_read_fraction: f64,
+    /// Fraction of the requests that are aborted shortly after they were sent.
+    #[serde(rename = "aborts", default)]
+    pub abort_fraction: f64,
+    /// Most retries of a refused request.
+    #[serde(rename = "retries", default)]
+    pub max_retries: u32,
 }
 
-fn eight() -> u32 {
+fn default_small_blocks() -> u32 {
     8
 }
 
-fn large() -> u32 {
+fn default_large_blocks() -> u32 {
     256
 }
 
-/// A trouble.
+/// A fault or another event.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EventTable {
-    /// When.
+    /// When it happens.
     pub at: Span,
-    /// What.
+    /// What happens.
     #[serde(rename = "do")]
     pub what: EventKind,
-    /// To which node, host or client (by name).
+    /// Id of the affected node.
     pub node: Option<u32>,
-    /// Host.
+    /// Number of the affected host.
     pub host: Option<u16>,
-    /// The host at the other end of a link.
+    /// Number of the host at the other end of the affected link.
     pub peer: Option<u16>,
-    /// What a disk does: `full`, `fsync`, `torn`, `read-only`, or `stall MILLISECONDS`.
+    /// Fault of the disk: `full`, `fsync`, `torn`, `read-only`, or `stall MILLISECONDS`.
     pub disk: Option<String>,
-    /// Client table.
+    /// Name of the affected group of clients.
     pub client: Option<String>,
-    /// For how long; until the end where absent.
+    /// How long it lasts; to the end of the scenario if absent.
     #[serde(rename = "for")]
     pub lasts: Option<Span>,
-    /// A factor, where the trouble has one.
+    /// Parameter of the event: a factor, a number of groups, milliseconds or a fraction, as its kind says.
     pub times: Option<f64>,
 }
 
-/// Kinds of trouble.
+/// Kinds of events.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// A node takes work and answers nothing.
+    /// A node accepts requests and sends no responses.
     Hang,
-    /// A node works `times` slower.
+    /// A node is slower by the factor `times`.
     Slow,
-    /// A node drops its connections once.
+    /// A node closes its connections once.
     Reset,
-    /// A node drops a connection between an R2T and its data.
+    /// A node closes a connection between an R2T and its data.
     ResetAtR2t,
-    /// A node turns all away as full.
+    /// A node rejects all requests as full.
     TurnAway,
-    /// A node forgets to drop repeats.
+    /// A node forgets idempotency keys and does not suppress repeats.
     ForgetRepeats,
-    /// A node stands still.
+    /// A node is paused for `for`.
     StandStill,
-    /// A node dies, and is back cold after `for`.
+    /// A node is killed, and restarts cold after `for`.
     Die,
-    /// A node drains for `for`, is then gone and replaced cold.
+    /// A node drains for `for`, and is then replaced by a cold one.
     Drain,
-    /// A host stands still.
+    /// A host stalls for `for`.
     HostStall,
-    /// A host is killed, and is back after `for`.
+    /// A host is killed, and restarts after `for`.
     HostKill,
-    /// Clients offer `times` their rate.
+    /// Clients multiply their rate by `times`.
     Surge,
-    /// Clients drop their connections and come again.
+    /// Clients close their connections and reconnect.
     Leave,
-    /// The directory answers errors.
+    /// The directory responds with errors.
     DirectoryDown,
-    /// A host's process is stopped (SIGSTOP), and goes on after `for`.
+    /// A host's process is stopped (SIGSTOP), and continues after `for`.
     HostStop,
-    /// A host is asked to end (SIGTERM), and is started again after `for`.
+    /// A host is told to shut down (SIGTERM), and restarts after `for`.
     HostTerm,
-    /// Nothing passes between `host` and `peer`, or between `host` and all others; it comes late, when the cut ends.
+    /// The link between `host` and `peer`, or between `host` and all others, is cut. Data is held back and
+    /// delivered when the cut ends.
     Cut,
-    /// Nothing passes from `host` to `peer`, or to all others.
+    /// The link from `host` to `peer`, or to all others, is cut in this direction alone.
     CutOneWay,
-    /// The hosts fall into `times` groups that do not hear each other.
+    /// The hosts are partitioned into `times` groups.
     Split,
-    /// Each host hears its neighbours by number alone.
+    /// Each host reaches only the hosts with the next lower and next higher number.
     Ring,
-    /// Each message from `host` takes `times` milliseconds more.
+    /// Each message from `host` is delayed by `times` milliseconds.
     SlowLink,
-    /// Of the messages from `host` this part (`times`) is lost.
+    /// The fraction `times` of the messages from `host` is lost.
     DropLink,
-    /// Messages from `host` come again, about `times` milliseconds late.
+    /// Messages from `host` are delivered again about `times` milliseconds later.
     RepeatLink,
-    /// The connections of `host` to voters break, in the middle of a message.
+    /// The connections of `host` to voters are closed in the middle of a message.
     ResetLink,
-    /// What `host` says to voters comes byte by byte.
+    /// The messages of `host` to voters are delivered byte by byte.
     Trickle,
-    /// The disk of `host` has a trouble (`disk`).
+    /// The disk of `host` has the fault `disk`.
     Disk,
 }
 
-/// A day that can't be played.
+/// Why a scenario is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScenarioError {
-    /// Not TOML, an unknown key, or a value of the wrong kind.
+    /// The text is not TOML, or has an unknown key or a value of the wrong type.
     #[error("{0}")]
     Syntax(String),
-    /// What does not go together.
+    /// A value is invalid.
     #[error("{entry}: {what}")]
     Value {
-        /// Which table.
+        /// Table or key that holds it.
         entry: String,
-        /// What is wrong.
+        /// What is wrong and what is expected.
         what: String,
     },
 }
 
 impl Scenario {
-    /// Reads and checks a day.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// The first fault.
+    /// Returns the first error found.
     pub fn from_toml(text: &str) -> Result<Scenario, ScenarioError> {
-        let day: Scenario = toml::from_str(text).map_err(|e| ScenarioError::Syntax(e.to_string()))?;
-        let bad = |entry: String, what: &str| Err(ScenarioError::Value { entry, what: what.to_owned() });
-        if day.run.hosts == 0 || day.nodes.count == 0 || day.nodes.cores == 0 || day.nodes.racks == 0 {
-            return bad("day".to_owned(), "hosts, nodes, cores and racks must be 1 at least");
+        let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError::Syntax(e.to_string()))?;
+        let invalid = |entry: String, what: &str| Err(ScenarioError::Value { entry, what: what.to_owned() });
+        if scenario.run.hosts == 0
+            || scenario.nodes.count == 0
+            || scenario.nodes.cores == 0
+            || scenario.nodes.racks == 0
+        {
+            return invalid(
+                "day".to_owned(),
+                "`hosts`, and `count`, `cores` and `racks` of [nodes], must be at least 1",
+            );
         }
-        if day.run.length.ms() < 100.0 || day.run.length.ms() > 600_000.0 {
-            return bad("day.length".to_owned(), "must lie between 100ms and 10min");
+        if scenario.run.length.ms() < 100.0 || scenario.run.length.ms() > 600_000.0 {
+            return invalid("day.length".to_owned(), "must be between 100ms and 10min");
         }
-        for c in &day.clients {
-            let parts = [c.writes, c.compares, c.flushes, c.large_part, c.aborts];
+        for c in &scenario.clients {
+            let fractions = [
+                c.write_fraction,
+                c.compare_and_write_fraction,
+                c.flush_fraction,
+                c.large_read_fraction,
+                c.abort_fraction,
+            ];
             if c.rate.is_nan() || !(0.0..=100_000.0).contains(&c.rate) {
-                return bad(format!("client `{}`", c.name), "rate must lie between 0 and 100000");
+                return invalid(format!("client `{}`", c.name), "`rate` must be between 0 and 100000");
             }
-            let unfit = |p: &f64| !(0.0..=1.0).contains(p);
-            if parts.iter().any(unfit) || c.writes + c.compares + c.flushes > 1.0 {
-                return bad(
+            let is_invalid = |p: &f64| !(0.0..=1.0).contains(p);
+            if fractions.iter().any(is_invalid)
+                || c.write_fraction + c.compare_and_write_fraction + c.flush_fraction > 1.0
+            {
+                return invalid(
                     format!("client `{}`", c.name),
-                    "parts must lie between 0 and 1, and not add up to more",
+                    "fractions must be between 0 and 1, and the sum of `writes`, `compares` and `flushes` at most 1",
                 );
             }
-            if c.count == 0 || c.small == 0 || c.large == 0 {
-                return bad(format!("client `{}`", c.name), "count, small and large must be 1 at least");
+            if c.count == 0 || c.small_blocks == 0 || c.large_blocks == 0 {
+                return invalid(
+                    format!("client `{}`", c.name),
+                    "`count`, `small` and `large` must be at least 1",
+                );
             }
         }
-        if let Some(c) = day.clients.iter().find(|c| c.host.is_some_and(|h| h >= day.run.hosts)) {
-            return bad(format!("client `{}`", c.name), "there is no such host");
+        if let Some(c) = scenario.clients.iter().find(|c| c.host.is_some_and(|h| h >= scenario.run.hosts)) {
+            return invalid(format!("client `{}`", c.name), "there is no such host");
         }
-        for (i, e) in day.expectations.iter().enumerate() {
-            let sane = (0.0..=10.0).contains(&e.at_least) && e.to.ms() > e.from.ms();
-            if !sane || e.to.ms() > day.run.length.ms() {
-                return bad(
+        for (i, e) in scenario.expectations.iter().enumerate() {
+            let is_valid = (0.0..=10.0).contains(&e.at_least) && e.to.ms() > e.from.ms();
+            if !is_valid || e.to.ms() > scenario.run.length.ms() {
+                return invalid(
                     format!("expect[{i}]"),
-                    "from, to and at_least must make sense, and end within the day",
+                    "`at_least` must be between 0 and 10, `to` later than `from` and not later than day.length",
                 );
             }
         }
-        for (i, e) in day.events.iter().enumerate() {
+        for (i, e) in scenario.events.iter().enumerate() {
             let entry = format!("event[{i}]");
             use EventKind as K;
             let (node, host, client) = match e.what {
@@ -293,36 +316,36 @@
                 _ => (true, false, false),
             };
             if node != e.node.is_some() || host != e.host.is_some() || client != e.client.is_some() {
-                return bad(entry, "names what its kind does not strike, or does not name what it strikes");
+                return invalid(entry, "must name exactly what its kind affects: a `node`, a `host`, a `client`, or none of them");
             }
-            if e.node.is_some_and(|n| n == 0 || n > u32::from(day.nodes.count)) {
-                return bad(entry, "there is no such node");
+            if e.node.is_some_and(|n| n == 0 || n > u32::from(scenario.nodes.count)) {
+                return invalid(entry, "there is no such node");
             }
-            if e.host.iter().chain(&e.peer).any(|h| *h >= day.run.hosts) {
-                return bad(entry, "there is no such host");
+            if e.host.iter().chain(&e.peer).any(|h| *h >= scenario.run.hosts) {
+                return invalid(entry, "there is no such host");
             }
-            if e.client.as_ref().is_some_and(|n| day.clients.iter().all(|c| c.name != *n)) {
-                return bad(entry, "there is no such client");
+            if e.client.as_ref().is_some_and(|n| scenario.clients.iter().all(|c| c.name != *n)) {
+                return invalid(entry, "there is no such client");
             }
-            let timed = matches!(e.what, K::HostStall | K::StandStill);
-            if timed && e.lasts.is_none() {
-                return bad(entry, "needs `for`");
+            let needs_duration = matches!(e.what, K::HostStall | K::StandStill);
+            if needs_duration && e.lasts.is_none() {
+                return invalid(entry, "requires `for`");
             }
             if e.peer.is_some() && (!matches!(e.what, K::Cut | K::CutOneWay) || e.peer == e.host) {
-                return bad(entry, "`peer` is the other end of a link that is cut");
+                return invalid(entry, "`peer` must be another host than `host`, and is allowed for `cut` and `cut-one-way` alone");
             }
             if (e.what == K::Disk) != e.disk.is_some() {
-                return bad(entry, "a disk needs `disk`, and nothing else has it");
+                return invalid(entry, "`disk` is required for the kind `disk`, and not allowed for others");
             }
-            let factor = matches!(e.what, K::SlowLink | K::DropLink | K::RepeatLink | K::Split);
-            if factor && e.times.is_none_or(|t| t.is_nan() || t <= 0.0) {
-                return bad(entry, "needs `times`, above 0");
+            let needs_times = matches!(e.what, K::SlowLink | K::DropLink | K::RepeatLink | K::Split);
+            if needs_times && e.times.is_none_or(|t| t.is_nan() || t <= 0.0) {
+                return invalid(entry, "requires `times` above 0");
             }
             if matches!(e.what, K::Slow | K::Surge) && e.times.is_none_or(|t| t.is_nan() || t <= 0.0) {
-                return bad(entry, "needs `times`, above 0");
+                return invalid(entry, "requires `times` above 0");
             }
         }
-        Ok(day)
+        Ok(scenario)
     }
 }
 
@@ -331,20 +354,20 @@
     use super::*;
 
     #[test]
-    fn faults_of_a_day_name_their_table() {
-        let good = include_str!("../days/bad-day.toml");
-        Scenario::from_toml(good).unwrap_or_else(|e| panic!("{e}"));
-        for (from, to, want) in [
+    fn errors_of_a_scenario_name_the_invalid_entry() {
+        let valid = include_str!("../days/bad-day.toml");
+        Scenario::from_toml(valid).unwrap_or_else(|e| panic!("{e}"));
+        for (from, to, expected) in [
             ("hosts = 2", "hosts = 0", "hosts"),
             ("do = \"hang\"", "do = \"sleep\"", "sleep"),
             ("node = 2", "node = 99", "no such node"),
-            ("node = 2", "host = 0", "strikes"),
+            ("node = 2", "host = 0", "must name exactly what its kind affects"),
             ("length = ", "lenght = ", "lenght"),
-            ("writes = 0.4", "writes = 1.4", "parts"),
+            ("writes = 0.4", "writes = 1.4", "fractions"),
         ] {
-            assert!(good.contains(from), "{from}");
-            let told = Scenario::from_toml(&good.replacen(from, to, 1)).expect_err(to).to_string();
-            assert!(told.contains(want), "{to}: {told}");
+            assert!(valid.contains(from), "{from}");
+            let error = Scenario::from_toml(&valid.replacen(from, to, 1)).expect_err(to).to_string();
+            assert!(error.contains(expected), "{to}: {error}");
         }
     }
 }
