--- a/crates/scale/src/child.rs
+++ b/crates/scale/src/child.rs
@@ -1,7 +1,7 @@
-//! What runs in a process of the run: one voter, or a number of hollow hosts. It answers each line on its standard input by a
-//! line on its standard output.
+//! Child process of a run: holds one voter, or a number of simulated hosts. It reads commands from its
+//! standard input and writes a sample to its standard output for each, both as one line of JSON.
 
-use crate::hollow::{HollowUser, MoveTimes, RunClock};
+use crate::simulated_clients::{MoveTimes, RunClock, SimulatedClients};
 use crate::size::Size;
 use pearfork::{
     Action, AttemptPolicy, Class, Effect, Event, Group, ListKind, NodeEntry, NodeState, Plan, Scheduler,
@@ -17,92 +17,94 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What all floors together make of each limit.
-const FLOORS: f64 = 0.03;
-/// Name of the run's fleet.
+/// Fraction of each budget that the floors of all hosts together reserve.
+const TOTAL_FLOOR: f64 = 0.03;
+/// Name of the fleet.
 const FLEET_NAME: &str = "scale";
-/// How often timers are looked at.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval at which due timers are run.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a process of the run is told when it starts.
+/// Assignment that a child process gets when it starts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Assignment {
     /// The size of the whole run.
     pub size: Size,
-    /// Its first host.
+    /// Number of its first host.
     pub first_host: u32,
-    /// How many hosts it has.
+    /// Number of its hosts.
     pub hosts: u32,
-    /// Where the voters listen, in the order of their hosts.
+    /// Listening addresses of the voters, in the order of their hosts.
     pub voters: Vec<SocketAddr>,
-    /// Where a voter keeps its state.
+    /// Folder in which a voter stores its state.
     pub folder: PathBuf,
-    /// When the run began, Unix time in milliseconds.
+    /// Start of the run, Unix time in milliseconds.
     pub began_unix_ms: f64,
 }
 
-/// A line to a process of the run.
+/// A command to a child process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// Say how things stand.
+    /// Return a sample.
     Sample,
-    /// From now on count hosts that were granted a lease since.
+    /// From now on, report a host as leased only if its lease was granted after this command.
     Mark,
-    /// End.
+    /// Exit.
     Quit,
 }
 
-/// How one hollow host stands.
+/// Sample of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostSample {
-    /// Bytes over its sockets, both ways.
+    /// Bytes sent and received over its sockets.
     pub bytes: u64,
-    /// Messages over its sockets, both ways.
+    /// Messages sent and received over its sockets.
     pub messages: u64,
-    /// It has a lease that was granted after the mark.
+    /// Whether it has a lease that was granted after the last [`Command::Mark`].
     pub is_leased: bool,
 }
 
-/// How a process stands.
+/// Sample of a child process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Its hosts.
+    /// Samples of its hosts.
     pub hosts: Vec<HostSample>,
-    /// Its voter leads.
+    /// Whether its voter is the leader.
     pub leads: bool,
-    /// How long moves took until their newcomers were served, milliseconds.
+    /// For each move of load: time until the new user of the volume was served, milliseconds.
     pub move_ms: Vec<f64>,
-    /// Budgets of which the voter's table lends something, and how much of each, summed.
+    /// Number of budgets of which the voter's table lends a fraction.
     pub lent_budgets: usize,
-    /// The sum of what is lent, in whole budgets.
+    /// Sum of the lent fractions; 1 is a whole budget.
     pub lent: f64,
-    /// Processor time that the schedulers took so far, seconds of the thread that ticks them.
+    /// Time spent so far in the timers of the schedulers, seconds.
     pub scheduler_seconds: f64,
 }
 
-/// Why a process can't run.
+/// Why a child process stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum ChildError {
-    /// It can't join its fleet.
+    /// A host could not join the fleet.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The module does not take the settings.
-    #[error("settings of the scheduler: {0}")]
+    /// The scheduler rejects its settings.
+    #[error("invalid scheduler settings: {0}")]
     Settings(String),
-    /// Its parent is gone, or speaks no sense.
+    /// Standard input could not be read, or a line is not a command.
     #[error("standard input: {0}")]
     Input(#[from] io::Error),
 }
 
-struct Member {
+/// A simulated host: its fleet membership and its scheduler.
+struct SimulatedHost {
     fleet: FleetMember,
     scheduler: Scheduler,
     timers: Vec<Timer>,
-    answered_at_mark: u64,
+    /// Leases received up to the last [`Command::Mark`].
+    leases_at_mark: u64,
 }
 
-/// A timer that a scheduler set.
+/// A timer set by a scheduler.
 #[derive(Clone, Copy)]
 struct Timer {
     at_ms: f64,
@@ -116,9 +118,9 @@
     })
 }
 
-impl Member {
-    /// Rings the timers that are due.
-    fn ring_timers(&mut self, now_ms: f64) {
+impl SimulatedHost {
+    /// Runs the timers that are due.
+    fn run_due_timers(&mut self, now_ms: f64) {
         let (due, later) = self.timers.iter().partition(|timer| timer.at_ms <= now_ms);
         self.timers = later;
         let due: Vec<Timer> = due;
@@ -130,34 +132,36 @@
     }
 }
 
-/// A process of the run.
-pub struct Child {
-    members: Vec<Member>,
+/// The hosts of a child process.
+pub struct ChildHosts {
+    hosts: Vec<SimulatedHost>,
     clock: RunClock,
     move_times: MoveTimes,
     scheduler_seconds: f64,
 }
 
-fn fleet_plan(assignment: &Assignment, host: u32) -> FleetSettings {
+/// Fleet settings of a host.
+fn fleet_settings(assignment: &Assignment, host: u32) -> FleetSettings {
     let address = |(number, address): (usize, &SocketAddr)| VoterAddress {
         host: HostNumber(number as u16),
         address: *address,
     };
     let voters: Vec<VoterAddress> = assignment.voters.iter().enumerate().map(address).collect();
-    let own = voters.iter().find(|v| u32::from(v.host.0) == host);
+    let own_address = voters.iter().find(|v| u32::from(v.host.0) == host);
     FleetSettings {
         name: FLEET_NAME.to_owned(),
         host: HostNumber(host as u16),
         max_hosts: assignment.size.hosts,
-        listen: own.map(|v| v.address),
-        folder: own.map(|_| assignment.folder.join(format!("voter-{host}"))),
+        listen: own_address.map(|v| v.address),
+        folder: own_address.map(|_| assignment.folder.join(format!("voter-{host}"))),
         voters,
-        total_floor: Fraction::from_f64(FLOORS),
+        total_floor: Fraction::from_f64(TOTAL_FLOOR),
         timing: Timing::default(),
         fault_injection: FaultInjection::default(),
     }
 }
 
+/// Scheduler settings of a host: one class and one plan.
 fn scheduler_settings(size: &Size) -> Settings {
     let class = Class {
         aim_ms: 120.0,
@@ -205,6 +209,7 @@
     }
 }
 
+/// A list of ready, warm nodes, each with its own shard.
 fn node_list(nodes: u32) -> Vec<NodeEntry> {
     let entry = |node: u32| NodeEntry {
         node,
@@ -216,41 +221,41 @@
     (0..nodes).map(entry).collect()
 }
 
-impl Child {
-    /// Starts the hosts of a process.
+impl ChildHosts {
+    /// Starts the hosts of a child process.
     ///
     /// # Errors
-    /// What the machine or the module refuses.
-    pub fn start(assignment: &Assignment) -> Result<Child, ChildError> {
+    /// Returns an error if a host cannot join the fleet or its scheduler rejects the settings.
+    pub fn start(assignment: &Assignment) -> Result<ChildHosts, ChildError> {
         let clock = RunClock::since(assignment.began_unix_ms);
         let move_times = MoveTimes::default();
-        let mut members = Vec::new();
+        let mut hosts = Vec::new();
         for host in assignment.first_host..assignment.first_host + assignment.hosts {
-            let user = HollowUser::new(host, &assignment.size, clock, move_times.clone());
-            let fleet = FleetMember::start(fleet_plan(assignment, host), user)?;
+            let clients = SimulatedClients::new(host, &assignment.size, clock, move_times.clone());
+            let fleet = FleetMember::start(fleet_settings(assignment, host), clients)?;
             let settings = scheduler_settings(&assignment.size);
             let mut scheduler = Scheduler::new(settings, u64::from(host))
-                .map_err(|why| ChildError::Settings(why.to_string()))?;
+                .map_err(|error| ChildError::Settings(error.to_string()))?;
             let list = Event::NodeList(ListKind::Full, node_list(assignment.size.nodes));
             let mut actions = Vec::new();
             scheduler.handle(clock.now_ms(), list, &mut actions);
             let timers = timers(actions).collect();
-            members.push(Member { fleet, scheduler, timers, answered_at_mark: 0 });
+            hosts.push(SimulatedHost { fleet, scheduler, timers, leases_at_mark: 0 });
         }
-        Ok(Child { members, clock, move_times, scheduler_seconds: 0.0 })
+        Ok(ChildHosts { hosts, clock, move_times, scheduler_seconds: 0.0 })
     }
 
-    /// How things stand.
+    /// Returns a sample of all hosts, and drains the recorded times of moves.
     pub fn sample(&mut self) -> Sample {
         let mut sample = Sample { scheduler_seconds: self.scheduler_seconds, ..Sample::default() };
-        for member in &self.members {
-            let view = member.fleet.view();
+        for host in &self.hosts {
+            let view = host.fleet.view();
             let TrafficCounts { bytes_sent, bytes_received, messages_sent, messages_received } = view.traffic;
             let has_lease = view.holder.lease_remaining_ms.is_some_and(|ms| ms > 0.0);
             sample.hosts.push(HostSample {
                 bytes: bytes_sent + bytes_received,
                 messages: messages_sent + messages_received,
-                is_leased: has_lease && view.holder.leases_received > member.answered_at_mark,
+                is_leased: has_lease && view.holder.leases_received > host.leases_at_mark,
             });
             if let Some(voter) = view.voter {
                 sample.leads = voter.grants_leases;
@@ -262,38 +267,39 @@
         sample
     }
 
-    /// From now on a host counts as leased once it is granted a lease anew.
+    /// Requires a new lease for each host before it counts as leased.
     pub fn mark(&mut self) {
-        for member in &mut self.members {
-            member.answered_at_mark = member.fleet.view().holder.leases_received;
+        for host in &mut self.hosts {
+            host.leases_at_mark = host.fleet.view().holder.leases_received;
         }
     }
 
-    /// Rings the timers of all schedulers that are due.
+    /// Runs the due timers of all schedulers.
     pub fn tick(&mut self) {
-        let began = Instant::now();
+        let started = Instant::now();
         let now_ms = self.clock.now_ms();
-        self.members.iter_mut().for_each(|member| member.ring_timers(now_ms));
-        self.scheduler_seconds += began.elapsed().as_secs_f64();
+        self.hosts.iter_mut().for_each(|host| host.run_due_timers(now_ms));
+        self.scheduler_seconds += started.elapsed().as_secs_f64();
     }
 }
 
-/// Runs a process until it is told to quit or its parent is gone.
+/// Runs the hosts of a child process until [`Command::Quit`], or until the parent process closes standard
+/// input.
 ///
 /// # Errors
-/// What the machine or the module refuses.
+/// Returns an error if the hosts cannot start, or if standard input or output fails.
 pub fn serve(assignment: &Assignment) -> Result<(), ChildError> {
-    let child = Mutex::new(Child::start(assignment)?);
-    let is_over = AtomicBool::new(false);
+    let child = Mutex::new(ChildHosts::start(assignment)?);
+    let is_stopped = AtomicBool::new(false);
     let lock = || child.lock().unwrap_or_else(PoisonError::into_inner);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            while !is_over.load(Ordering::Relaxed) {
+            while !is_stopped.load(Ordering::Relaxed) {
                 lock().tick();
-                std::thread::sleep(TICK);
+                std::thread::sleep(TICK_INTERVAL);
             }
         });
-        let served = answer_lines(|command| match command {
+        let result = serve_commands(|command| match command {
             Command::Sample => Some(lock().sample()),
             Command::Mark => {
                 lock().mark();
@@ -301,18 +307,20 @@
             }
             Command::Quit => None,
         });
-        is_over.store(true, Ordering::Relaxed);
-        served
+        is_stopped.store(true, Ordering::Relaxed);
+        result
     })?;
-    // Danger: to stop hundreds of hosts in order takes longer than anybody waits; the process ends with all of them.
+    // An orderly shutdown of hundreds of hosts takes too long, so the process exits with all of them running.
     std::process::exit(0);
 }
 
-fn answer_lines(mut answer: impl FnMut(Command) -> Option<Sample>) -> io::Result<()> {
+/// Reads commands from standard input and writes the sample that `handle` returns for each, until it returns
+/// `None`. An empty sample is written first to report that the hosts have started.
+fn serve_commands(mut handle: impl FnMut(Command) -> Option<Sample>) -> io::Result<()> {
     let mut output = io::stdout().lock();
     writeln!(output, "{}", serde_json::to_string(&Sample::default())?)?;
     for line in io::stdin().lock().lines() {
-        let Some(sample) = answer(serde_json::from_str(&line?)?) else { return Ok(()) };
+        let Some(sample) = handle(serde_json::from_str(&line?)?) else { return Ok(()) };
         writeln!(output, "{}", serde_json::to_string(&sample)?)?;
         output.flush()?;
     }
--- a/crates/scale/src/connections.rs
+++ b/crates/scale/src/connections.rs
@@ -1,4 +1,5 @@
-//! What client connections cost a real host: `pearfork-gateway` under `pearfork-load`, both as processes.
+//! Measures the cost of client connections for a real host: `pearfork-gateway` under `pearfork-load`, each in
+//! its own process.
 
 use crate::measure::Usage;
 use pearfork_net::free_addresses;
@@ -9,62 +10,63 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// One host with one volume and stand-in nodes in its own process: what those cost is counted with it.
+/// Settings of one host with one volume. The fake nodes run in the process of the host, so the cost includes
+/// theirs.
 const QUICKSTART: &str = include_str!("../../../examples/quickstart.toml");
-/// How long the host may take until it listens.
+/// Time limit for the host to listen.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long after the load began all its sessions are taken to be up, besides what each takes to log in.
-const SETTLED_AFTER: Duration = Duration::from_secs(3);
-/// What each session's login adds to that.
+/// Time after the start of the load in which its sessions settle, besides the time for the logins.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Additional settle time for the login of each session.
 const LOGIN_TIME: Duration = Duration::from_millis(2);
-/// How often it is looked whether the host listens.
+/// Interval at which it is checked whether the host listens.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the load goes on after the measurement.
-const SLACK: Duration = Duration::from_secs(2);
+/// How long the load continues after the measurement.
+const EXTRA_LOAD_TIME: Duration = Duration::from_secs(2);
 
-/// What is measured.
+/// Settings of a measurement.
 #[derive(Clone, Debug)]
-pub struct ConnectionPlan {
-    /// `pearfork-gateway`.
+pub struct ConnectionBenchmark {
+    /// Path of `pearfork-gateway`.
     pub gateway: PathBuf,
-    /// `pearfork-load`.
+    /// Path of `pearfork-load`.
     pub load: PathBuf,
-    /// Client sessions, each a connection.
+    /// Number of client sessions, one connection each.
     pub sessions: u32,
-    /// Requests a second over all of them.
+    /// Requests per second over all sessions.
     pub rate: f64,
-    /// How long is measured.
-    pub length: Duration,
+    /// Duration of the measurement.
+    pub duration: Duration,
 }
 
-/// What came of it.
+/// Result of a measurement.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ConnectionCost {
-    /// Client sessions.
+    /// Number of client sessions.
     pub sessions: u32,
-    /// Requests a second over all of them.
+    /// Requests per second over all sessions.
     pub rate: f64,
-    /// Processor time of the host, percent of a core.
+    /// CPU time of the host, percent of a core.
     pub cpu_percent: f64,
     /// Resident memory of the host, bytes.
     pub resident_bytes: u64,
-    /// Threads of the host.
+    /// Number of threads of the host.
     pub threads: u64,
-    /// Descriptors of the host.
+    /// Number of open file descriptors of the host.
     pub descriptors: u64,
 }
 
-/// A process that ends with its owner.
-struct Running(Child);
+/// A process that is killed when this value is dropped.
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The quickstart's settings at addresses of this run's own.
+/// Returns the settings of the quickstart example with the given addresses.
 fn settings(listen: SocketAddr, http: SocketAddr, directory: SocketAddr) -> String {
     QUICKSTART
         .replace("127.0.0.1:3260", &listen.to_string())
@@ -73,51 +75,55 @@
 }
 
 fn wait_until_listening(address: SocketAddr) -> io::Result<()> {
-    let until = Instant::now() + READY_TIMEOUT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     while TcpStream::connect(address).is_err() {
-        if Instant::now() > until {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "the host does not listen"));
+        if Instant::now() > deadline {
+            return Err(io::Error::new(io::ErrorKind::TimedOut, "the host did not listen within 20 s"));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// Starts a host and its load, and measures the host once all sessions are up.
+/// Starts a host and its load, and measures the host once all sessions are established.
 ///
 /// # Errors
-/// A program that does not start, or a host that does not listen in time.
-pub fn measure(plan: &ConnectionPlan) -> io::Result<ConnectionCost> {
+/// Returns an error if a program does not start or the host does not listen in time.
+pub fn measure(benchmark: &ConnectionBenchmark) -> io::Result<ConnectionCost> {
     let folder = tempfile::tempdir()?;
-    let file = folder.path().join("host.toml");
+    let settings_file = folder.path().join("host.toml");
     let addresses = free_addresses(3)?;
     let [address, http, directory] = addresses[..] else {
         return Err(io::ErrorKind::AddrNotAvailable.into());
     };
-    std::fs::write(&file, settings(address, http, directory))?;
-    let gateway =
-        Command::new(&plan.gateway).arg("serve").arg("--config").arg(&file).stdout(Stdio::null()).spawn()?;
-    let gateway = Running(gateway);
+    std::fs::write(&settings_file, settings(address, http, directory))?;
+    let gateway = Command::new(&benchmark.gateway)
+        .arg("serve")
+        .arg("--config")
+        .arg(&settings_file)
+        .stdout(Stdio::null())
+        .spawn()?;
+    let gateway = KillOnDrop(gateway);
     wait_until_listening(address)?;
-    let settled_after = SETTLED_AFTER + LOGIN_TIME * plan.sessions;
-    let length = settled_after + plan.length + SLACK;
-    let load = Command::new(&plan.load)
+    let settle_time = SETTLE_TIME + LOGIN_TIME * benchmark.sessions;
+    let duration = settle_time + benchmark.duration + EXTRA_LOAD_TIME;
+    let load = Command::new(&benchmark.load)
         .arg(format!("iscsi://{address}/iqn.2026-12.org.pearfork:demo/0"))
-        .args(["--sessions", &plan.sessions.to_string()])
-        .args(["--rate", &plan.rate.to_string()])
-        .args(["--length", &format!("{}ms", length.as_millis())])
+        .args(["--sessions", &benchmark.sessions.to_string()])
+        .args(["--rate", &benchmark.rate.to_string()])
+        .args(["--length", &format!("{}ms", duration.as_millis())])
         .stdout(Stdio::null())
         .spawn()?;
-    let _load = Running(load);
-    std::thread::sleep(settled_after);
-    let before = Usage::of(gateway.0.id())?;
-    let began = Instant::now();
-    std::thread::sleep(plan.length);
-    let after = Usage::of(gateway.0.id())?;
-    let seconds = began.elapsed().as_secs_f64();
+    let _load = KillOnDrop(load);
+    std::thread::sleep(settle_time);
+    let before = Usage::of_process(gateway.0.id())?;
+    let started = Instant::now();
+    std::thread::sleep(benchmark.duration);
+    let after = Usage::of_process(gateway.0.id())?;
+    let seconds = started.elapsed().as_secs_f64();
     Ok(ConnectionCost {
-        sessions: plan.sessions,
-        rate: plan.rate,
+        sessions: benchmark.sessions,
+        rate: benchmark.rate,
         cpu_percent: (after.cpu_seconds - before.cpu_seconds) / seconds * 100.0,
         resident_bytes: after.resident_bytes,
         threads: after.threads,
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -1,60 +1,66 @@
-//! Which hosts use which volume when: drawn from the seed and the time alone, so that all processes agree on it.
+//! Load model: which hosts use which volume at a time. It depends on the seed and the time alone, so that all
+//! processes compute the same.
 
 use crate::size::Size;
 
-/// Demand of each user of a volume, as a fraction of its limit: more than there is, as on a busy day.
-pub const DEMAND: f64 = 0.5;
+/// Demand of each user of a volume as a fraction of its limit. The sum over the users exceeds the limit, as
+/// under heavy load.
+pub const DEMAND_PER_USER: f64 = 0.5;
 
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// The load of a run.
+/// The load model of a run.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct LoadModel {
     hosts: u32,
     users: u32,
     seed: u64,
-    /// Milliseconds from one move of a volume to its next; infinite where none moves.
+    /// Milliseconds between two moves of the load of a volume; infinite if no load moves.
     period_ms: f64,
 }
 
-fn mix(mut z: u64) -> u64 {
+/// The SplitMix64 hash function.
+fn splitmix64(mut z: u64) -> u64 {
     z = z.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-impl Load {
-    /// The load of a run of this size.
-    pub fn new(size: &Size) -> Load {
+impl LoadModel {
+    /// Creates the load model of a run of this size.
+    pub fn new(size: &Size) -> LoadModel {
         let period_ms = if size.moving > 0.0 { MS_PER_SECOND / size.moving } else { f64::INFINITY };
-        Load { hosts: size.hosts, users: size.users.min(size.hosts), seed: size.seed, period_ms }
+        LoadModel { hosts: size.hosts, users: size.users.min(size.hosts), seed: size.seed, period_ms }
     }
 
-    /// How often the load of a volume has moved by then.
-    pub fn moves(&self, volume: u32, at_ms: f64) -> u64 {
-        let phase = mix(self.seed ^ u64::from(volume)) as f64 / u64::MAX as f64;
-        let moves = at_ms.max(0.0) / self.period_ms + phase;
-        moves as u64
+    /// Returns how often the load of a volume has moved at a time.
+    pub fn move_count(&self, volume: u32, at_ms: f64) -> u64 {
+        let phase = splitmix64(self.seed ^ u64::from(volume)) as f64 / u64::MAX as f64;
+        let move_count = at_ms.max(0.0) / self.period_ms + phase;
+        move_count as u64
     }
 
-    /// When a volume moved last, by then; 0 where it has not.
-    pub fn moved_at(&self, volume: u32, at_ms: f64) -> f64 {
-        let phase = mix(self.seed ^ u64::from(volume)) as f64 / u64::MAX as f64;
-        let moves = self.moves(volume, at_ms) as f64;
-        ((moves - phase) * self.period_ms).max(0.0)
+    /// Returns the time of the last move of a volume before `at_ms`; 0 if there was none.
+    pub fn last_moved_ms(&self, volume: u32, at_ms: f64) -> f64 {
+        let phase = splitmix64(self.seed ^ u64::from(volume)) as f64 / u64::MAX as f64;
+        let move_count = self.move_count(volume, at_ms) as f64;
+        ((move_count - phase) * self.period_ms).max(0.0)
     }
 
-    /// Whether a host's clients use a volume after so many moves. Its users stand in a row that moves on by one.
-    pub fn uses(&self, host: u32, volume: u32, moves: u64) -> bool {
-        let first = mix(self.seed.wrapping_add(u64::from(volume) << 20)).wrapping_add(moves);
-        let first = (first % u64::from(self.hosts)) as u32;
-        let place = (host + self.hosts - first) % self.hosts;
-        place < self.users
+    /// Whether the clients of a host use a volume after a number of moves. Users are consecutive hosts; each
+    /// move shifts them by one.
+    pub fn is_user(&self, host: u32, volume: u32, move_count: u64) -> bool {
+        let first_user = splitmix64(self.seed.wrapping_add(u64::from(volume) << 20)).wrapping_add(move_count);
+        let first_user = (first_user % u64::from(self.hosts)) as u32;
+        let position = (host + self.hosts - first_user) % self.hosts;
+        position < self.users
     }
 
-    /// Whether a host became a user of a volume by its last move.
-    pub fn is_newcomer(&self, host: u32, volume: u32, moves: u64) -> bool {
-        moves > 0 && self.uses(host, volume, moves) && !self.uses(host, volume, moves - 1)
+    /// Whether the last move made a host a user of a volume.
+    pub fn is_new_user(&self, host: u32, volume: u32, move_count: u64) -> bool {
+        move_count > 0
+            && self.is_user(host, volume, move_count)
+            && !self.is_user(host, volume, move_count - 1)
     }
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,9 +1,10 @@
-//! `pearfork-scale`: runs the control plane of a large fleet on this machine, and measures what each role costs.
+//! `pearfork-scale`: runs the control plane of a large fleet on this machine, and measures the cost of each
+//! role.
 
 use clap::{Parser, Subcommand};
 use pearfork_cli::{CommonArguments, Exit};
 use pearfork_scale::child::{serve, Assignment};
-use pearfork_scale::connections::{self, ConnectionCost, ConnectionPlan};
+use pearfork_scale::connections::{self, ConnectionBenchmark, ConnectionCost};
 use pearfork_scale::report::Report;
 use pearfork_scale::run::RunError;
 use pearfork_scale::size::{in_range, MAX_SECONDS};
@@ -13,8 +14,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Runs voters and hollow hosts on loopback and measures bytes, messages, processor time and memory by role. Exit codes: 0
-/// measured, 1 the run broke off, 2 the size is refused. The last line of a run is one JSON object.
+/// Runs voters and simulated hosts on loopback and measures bytes, messages, CPU time and memory by role.
+/// Exit codes: 0 success, 1 the run failed, 2 the size is invalid. The last line of a run is one JSON object.
 #[derive(Parser)]
 #[command(name = "pearfork-scale", version, about)]
 struct Arguments {
@@ -26,92 +27,93 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure a size.
+    /// Run a fleet of a size and measure it.
     Run(RunArguments),
-    /// Measure what client connections cost a real host, `pearfork-gateway` under `pearfork-load`.
+    /// Measure the cost of client connections for a real host, `pearfork-gateway` under `pearfork-load`.
     Connections(ConnectionArguments),
-    /// Be one process of a run; started by `run` alone.
+    /// Run one child process; started by `run` alone.
     #[command(hide = true)]
     Serve {
-        /// What to be, as JSON.
+        /// Assignment of the process, as JSON.
         assignment: String,
     },
 }
 
 #[derive(clap::Args)]
 struct RunArguments {
-    /// Hosts, voters included.
+    /// Number of hosts, including voters.
     #[arg(long, default_value_t = 40)]
     hosts: u32,
-    /// Voters: 1, 3, 5 or 7.
+    /// Number of voters: 1, 3, 5 or 7.
     #[arg(long, default_value_t = 3)]
     voters: u16,
-    /// Nodes in each host's list.
+    /// Number of nodes in the list of each host.
     #[arg(long, default_value_t = 70)]
     nodes: u32,
-    /// Budgets: two for each volume with a limit.
+    /// Number of budgets: two for each volume with a limit.
     #[arg(long, default_value_t = 64)]
     budgets: u32,
-    /// Hosts whose clients use a volume at a time.
+    /// Number of hosts whose clients use a volume at a time.
     #[arg(long, default_value_t = 3)]
     users: u32,
-    /// Part of the volumes whose load moves each second.
+    /// Fraction of the volumes whose load moves to another host each second.
     #[arg(long, default_value_t = 0.0)]
     moving: f64,
-    /// How far measured demand strays from its mean.
+    /// Greatest deviation of measured demand from its mean, as a fraction of the mean.
     #[arg(long, default_value_t = 0.05)]
     jitter: f64,
-    /// The least fraction of a budget that is of use to a host.
+    /// Least useful fraction of a budget for a host.
     #[arg(long, default_value_t = 0.001)]
     least: f64,
-    /// Seconds that are measured.
+    /// Duration of the measurement, seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u32,
-    /// Seconds before that.
+    /// Duration of the warm-up before the measurement, seconds.
     #[arg(long, default_value_t = 3)]
     warm_up: u32,
-    /// Seed of all draws.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Kill the leader in the end, and time what follows.
+    /// Kill the leader at the end and measure the recovery.
     #[arg(long)]
     lose_leader: bool,
 }
 
 #[derive(clap::Args)]
 struct ConnectionArguments {
-    /// Client sessions, each a connection.
+    /// Number of client sessions, one connection each.
     #[arg(long, default_value_t = 100)]
     sessions: u32,
-    /// Requests a second over all of them.
+    /// Requests per second over all sessions.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// Seconds that are measured.
+    /// Duration of the measurement, seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u32,
-    /// The host's program; the one beside this program where it is not named.
+    /// Path of `pearfork-gateway`; by default the one in the folder of this program.
     #[arg(long)]
     gateway: Option<PathBuf>,
-    /// The load's program; the one beside this program where it is not named.
+    /// Path of `pearfork-load`; by default the one in the folder of this program.
     #[arg(long)]
     load: Option<PathBuf>,
 }
 
-/// Most sessions of a measurement: the quickstart's host takes 4,096.
+/// Maximum number of sessions: the host of the quickstart example accepts 4,096.
 const MAX_SESSIONS: u32 = 4_000;
-/// Most requests a second of a measurement.
+/// Maximum number of requests per second.
 const MAX_RATE: f64 = 20_000.0;
 
 impl ConnectionArguments {
-    fn plan(&self) -> Result<ConnectionPlan, RunError> {
+    fn benchmark(&self) -> Result<ConnectionBenchmark, RunError> {
         in_range("sessions", f64::from(self.sessions), 1.0, f64::from(MAX_SESSIONS))?;
         in_range("rate", self.rate, 0.001, MAX_RATE)?;
         in_range("seconds", f64::from(self.seconds), 1.0, f64::from(MAX_SECONDS))?;
-        let beside = |name: &str| std::env::current_exe().map(|program| program.with_file_name(name));
-        let gateway = self.gateway.clone().map_or_else(|| beside("pearfork-gateway"), Ok)?;
-        let load = self.load.clone().map_or_else(|| beside("pearfork-load"), Ok)?;
-        let length = Duration::from_secs(u64::from(self.seconds));
-        Ok(ConnectionPlan { gateway, load, sessions: self.sessions, rate: self.rate, length })
+        let sibling_program =
+            |name: &str| std::env::current_exe().map(|program| program.with_file_name(name));
+        let gateway = self.gateway.clone().map_or_else(|| sibling_program("pearfork-gateway"), Ok)?;
+        let load = self.load.clone().map_or_else(|| sibling_program("pearfork-load"), Ok)?;
+        let duration = Duration::from_secs(u64::from(self.seconds));
+        Ok(ConnectionBenchmark { gateway, load, sessions: self.sessions, rate: self.rate, duration })
     }
 }
 
@@ -139,21 +141,21 @@
 }
 
 fn measure_connections(arguments: &ConnectionArguments) -> Result<ConnectionCost, RunError> {
-    Ok(connections::measure(&arguments.plan()?)?)
+    Ok(connections::measure(&arguments.benchmark()?)?)
 }
 
-/// Prints what was measured as one JSON object, or why nothing was.
-fn tell<T: Serialize>(measured: Result<T, RunError>) -> ExitCode {
-    let why = match measured.map(|report| serde_json::to_string(&report)) {
+/// Prints the result as one JSON object, or the error to standard error.
+fn print_result<T: Serialize>(measured: Result<T, RunError>) -> ExitCode {
+    let error = match measured.map(|report| serde_json::to_string(&report)) {
         Ok(Ok(line)) => {
             println!("{line}");
             return Exit::Success.into();
         }
-        Ok(Err(why)) => RunError::Machine(why.into()),
-        Err(why) => why,
+        Ok(Err(error)) => RunError::System(error.into()),
+        Err(error) => error,
     };
-    eprintln!("{why}");
-    match why {
+    eprintln!("{error}");
+    match error {
         RunError::Size(_) => Exit::Error.into(),
         _ => Exit::Negative.into(),
     }
@@ -161,21 +163,21 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    if let Err(why) = arguments.common.start_log() {
-        eprintln!("{why}");
+    if let Err(error) = arguments.common.start_log() {
+        eprintln!("{error}");
         return Exit::Error.into();
     }
     match &arguments.command {
-        Command::Run(of_run) => tell(measure(of_run)),
-        Command::Connections(of_connections) => tell(measure_connections(of_connections)),
+        Command::Run(run_arguments) => print_result(measure(run_arguments)),
+        Command::Connections(connection_arguments) => print_result(measure_connections(connection_arguments)),
         Command::Serve { assignment } => {
-            let served = serde_json::from_str::<Assignment>(assignment)
+            let result = serde_json::from_str::<Assignment>(assignment)
                 .map_err(|e| e.to_string())
                 .and_then(|assignment| serve(&assignment).map_err(|e| e.to_string()));
-            match served {
+            match result {
                 Ok(()) => Exit::Success.into(),
-                Err(why) => {
-                    eprintln!("{why}");
+                Err(error) => {
+                    eprintln!("{error}");
                     Exit::Negative.into()
                 }
             }
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,80 +1,80 @@
-//! What a run measured.
+//! Report of a run.
 
 use crate::size::Size;
 use serde::Serialize;
 
-/// What one role cost, in the mean of its processes or hosts, while it was measured.
+/// Mean cost of one role, per process or host, during the measurement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RoleCost {
-    /// Processor time, percent of a core.
+    /// CPU time, percent of a core.
     pub cpu_percent: f64,
     /// Resident memory, bytes.
     pub resident_bytes: f64,
-    /// Threads.
+    /// Number of threads.
     pub threads: f64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: f64,
-    /// Bytes over sockets a second, both ways.
+    /// Bytes sent and received over sockets per second.
     pub bytes_per_second: f64,
-    /// Messages over sockets a second, both ways.
+    /// Messages sent and received over sockets per second.
     pub messages_per_second: f64,
 }
 
-/// How long moves of load took.
+/// Times from a move of load until its new user was served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MoveTimes {
-    /// Moves whose newcomer was served.
+    /// Number of moves whose new user was served.
     pub count: usize,
     /// Median, milliseconds.
     pub p50_ms: f64,
-    /// The slowest but one in a hundred, milliseconds.
+    /// 99th percentile, milliseconds.
     pub p99_ms: f64,
-    /// The slowest, milliseconds.
+    /// Maximum, milliseconds.
     pub max_ms: f64,
 }
 
-/// What came of the loss of the leader.
+/// Recovery after the loss of the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LeaderLoss {
-    /// Until another voter led, milliseconds.
+    /// Time until another voter was the leader, milliseconds.
     pub new_leader_ms: f64,
-    /// Until every host had a lease of it, milliseconds.
+    /// Time until every host had a lease from it, milliseconds.
     pub all_leased_ms: f64,
-    /// Most bytes over one host's sockets in that time.
+    /// Most bytes over the sockets of one host in that time.
     pub most_host_bytes: f64,
-    /// Bytes over the new leader's sockets in that time.
+    /// Bytes over the sockets of the new leader in that time.
     pub leader_bytes: f64,
 }
 
-/// A whole run.
+/// Report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// The size.
+    /// Size of the run.
     pub size: Size,
-    /// Seconds that were measured.
+    /// Duration of the measurement, seconds.
     pub measured_seconds: f64,
-    /// Seconds until every host had a lease.
+    /// Time from the start until every host had a lease, seconds.
     pub ready_seconds: f64,
-    /// A hollow host.
+    /// Cost of a simulated host.
     pub host: RoleCost,
-    /// Bytes a second of the host that has more than all but one in a hundred.
+    /// 99th percentile over the simulated hosts of the bytes per second.
     pub host_bytes_p99: f64,
-    /// The leader.
+    /// Cost of the leader.
     pub leader: RoleCost,
-    /// The other voters.
+    /// Cost of a voter that is not the leader.
     pub follower: RoleCost,
-    /// Ticks of a host's scheduler, percent of a core.
+    /// Time spent in the timers of a host's scheduler, percent of a core.
     pub scheduler_percent: f64,
-    /// Memory of all processes, bytes.
+    /// Resident memory of all processes, bytes.
     pub all_resident_bytes: u64,
-    /// Moves.
+    /// Moves of load.
     pub moves: MoveTimes,
-    /// Budgets of which something is lent in the end, and the sum of that in whole budgets.
+    /// Number of budgets of which a fraction is lent at the end.
     pub lent_budgets: usize,
-    /// See there.
+    /// Sum of the fractions that are lent at the end; 1 is a whole budget.
     pub lent: f64,
-    /// Bytes on the disk of all voters in the end.
+    /// Disk space of all voters at the end, bytes.
     pub disk_bytes: u64,
-    /// What came of the loss of the leader, where that was asked for.
+    /// Recovery after the loss of the leader, if that was requested.
     pub leader_loss: Option<LeaderLoss>,
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,9 +1,9 @@
-//! Starts the processes of a run, measures them, and ends them.
+//! Starts the child processes of a run, measures them, and ends them.
 
 use crate::child::{Assignment, Command, Sample};
-use crate::hollow::RunClock;
 use crate::measure::{quantile, Usage};
 use crate::report::{LeaderLoss, MoveTimes, Report, RoleCost};
+use crate::simulated_clients::RunClock;
 use crate::size::{Size, SizeError, HOSTS_PER_PROCESS, MAX_MEMORY_BYTES};
 use pearfork_net::free_addresses;
 use std::io::{self, BufRead, BufReader, Write};
@@ -11,52 +11,53 @@
 use std::process::{Child as Process, ChildStdin, ChildStdout, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest time until every host has a lease.
+/// Time limit for every host to have a lease.
 const READY_TIMEOUT: Duration = Duration::from_secs(120);
-/// How often processes are asked how they stand while something is waited for.
+/// Interval at which child processes are sampled while waiting for leases.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while the loss of the leader is timed.
+/// Shorter interval while the recovery from the loss of the leader is measured.
 const LOSS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time until every host has a lease after the loss of the leader.
+/// Time limit for every host to have a lease after the loss of the leader.
 const LOSS_TIMEOUT: Duration = Duration::from_secs(60);
-/// Why a run has no result.
+
+/// Why a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The size is refused.
+    /// The size is invalid.
     #[error(transparent)]
     Size(#[from] SizeError),
-    /// The machine refuses a process, a port or a folder.
-    #[error("the machine: {0}")]
-    Machine(#[from] io::Error),
-    /// A process of the run ended or said nothing of use.
-    #[error("process {process}: {why}")]
+    /// A process, port, file or folder could not be used.
+    #[error("system error: {0}")]
+    System(#[from] io::Error),
+    /// A child process ended or sent an invalid line.
+    #[error("child process {process}: {reason}")]
     Process {
-        /// Its place among the processes of the run.
+        /// Index of the child process.
         process: usize,
-        /// What it did.
-        why: String,
+        /// What happened.
+        reason: String,
     },
-    /// Memory grew beyond what is allowed.
-    #[error("all processes have {used_mib} MiB, {most_mib} are allowed: the run was ended")]
+    /// The processes use too much memory.
+    #[error("run aborted: all processes use {used_mib} MiB, at most {most_mib} MiB are allowed")]
     Memory {
-        /// What they have.
+        /// Memory in use, MiB.
         used_mib: u64,
-        /// What is allowed.
+        /// Allowed memory, MiB.
         most_mib: u64,
     },
-    /// Not every host had a lease in time.
-    #[error("{leased} of {hosts} hosts had a lease after {seconds} s")]
+    /// Not every host had a lease within the time limit.
+    #[error("only {leased} of {hosts} hosts had a lease after {seconds} s")]
     NotReady {
-        /// Hosts with a lease.
+        /// Number of hosts with a lease.
         leased: usize,
-        /// All hosts.
+        /// Number of all hosts.
         hosts: u32,
-        /// How long was waited.
+        /// Time limit, seconds.
         seconds: u64,
     },
 }
 
-/// One process of the run.
+/// A child process of the run.
 struct Worker {
     process: Process,
     input: ChildStdin,
@@ -72,7 +73,7 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()?;
-        let missing = || io::Error::other("no pipe to a process");
+        let missing = || io::Error::other("a child process has no pipe");
         let input = process.stdin.take().ok_or_else(missing)?;
         let output = process.stdout.take().ok_or_else(missing)?;
         Ok(Worker { process, input, output: BufReader::new(output), is_alive: true })
@@ -84,7 +85,7 @@
         Ok(serde_json::from_str(&line)?)
     }
 
-    fn ask(&mut self, command: Command) -> io::Result<Sample> {
+    fn request(&mut self, command: Command) -> io::Result<Sample> {
         writeln!(self.input, "{}", serde_json::to_string(&command)?)?;
         self.read()
     }
@@ -102,13 +103,13 @@
     }
 }
 
-/// How a process stood at a moment.
+/// Sample and resource usage of a child process at one time.
 struct Observation {
     sample: Sample,
     usage: Usage,
 }
 
-/// Processes of a run, voters first.
+/// Child processes of a run, voters first.
 struct Workers {
     all: Vec<Worker>,
     size: Size,
@@ -128,24 +129,25 @@
         };
         let voter_hosts = u32::from(size.voters);
         let mut assignments: Vec<Assignment> = (0..voter_hosts).map(|host| assignment(host, 1)).collect();
-        let firsts = (voter_hosts..size.hosts).step_by(HOSTS_PER_PROCESS as usize);
-        assignments.extend(firsts.map(|first| assignment(first, HOSTS_PER_PROCESS.min(size.hosts - first))));
+        let first_hosts = (voter_hosts..size.hosts).step_by(HOSTS_PER_PROCESS as usize);
+        assignments
+            .extend(first_hosts.map(|first| assignment(first, HOSTS_PER_PROCESS.min(size.hosts - first))));
         let mut workers = Workers { all: Vec::new(), size: size.clone() };
         for assignment in assignments {
             workers.all.push(Worker::start(program, &assignment)?);
         }
         for (number, worker) in workers.all.iter_mut().enumerate() {
-            worker.read().map_err(|e| RunError::Process { process: number, why: e.to_string() })?;
+            worker.read().map_err(|e| RunError::Process { process: number, reason: e.to_string() })?;
         }
         Ok(workers)
     }
 
-    fn ask_all(&mut self, command: Command) -> Result<Vec<Observation>, RunError> {
+    fn request_all(&mut self, command: Command) -> Result<Vec<Observation>, RunError> {
         let mut observations = Vec::new();
         for (process, worker) in self.all.iter_mut().enumerate().filter(|(_, worker)| worker.is_alive) {
-            let failed = |e: io::Error| RunError::Process { process, why: e.to_string() };
-            let sample = worker.ask(command).map_err(failed)?;
-            let usage = Usage::of(worker.process.id()).map_err(failed)?;
+            let failed = |e: io::Error| RunError::Process { process, reason: e.to_string() };
+            let sample = worker.request(command).map_err(failed)?;
+            let usage = Usage::of_process(worker.process.id()).map_err(failed)?;
             observations.push(Observation { sample, usage });
         }
         let used: u64 = observations.iter().map(|o| o.usage.resident_bytes).sum();
@@ -155,23 +157,24 @@
         Ok(observations)
     }
 
-    /// Waits until every host has a lease, and calls `look` with how things stand each time; how they stood in the end.
+    /// Waits until every host has a lease, and returns the last observations. Calls `observe` with the
+    /// observations of each poll.
     fn wait_for_leases(
         &mut self,
         timeout: Duration,
         interval: Duration,
-        mut look: impl FnMut(&[Observation]),
+        mut observe: impl FnMut(&[Observation]),
     ) -> Result<Vec<Observation>, RunError> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         loop {
-            let observations = self.ask_all(Command::Sample)?;
-            look(&observations);
+            let observations = self.request_all(Command::Sample)?;
+            observe(&observations);
             let hosts = || observations.iter().flat_map(|o| &o.sample.hosts);
             let leased = hosts().filter(|host| host.is_leased).count();
             if leased == hosts().count() {
                 return Ok(observations);
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let seconds = timeout.as_secs();
                 return Err(RunError::NotReady { leased, hosts: self.size.hosts, seconds });
             }
@@ -179,17 +182,18 @@
         }
     }
 
-    /// Kills the leader and times what follows.
+    /// Kills the leader and measures the recovery.
     fn lose_leader(&mut self) -> Result<LeaderLoss, RunError> {
-        let mut before = self.ask_all(Command::Sample)?;
+        let mut before = self.request_all(Command::Sample)?;
         let Some(leader) = before.iter().position(|o| o.sample.leads) else {
-            return Err(RunError::Process { process: 0, why: "no voter leads".to_owned() });
+            return Err(RunError::Process { process: 0, reason: "no voter is the leader".to_owned() });
         };
-        let began = Instant::now();
+        let started = Instant::now();
         self.all[leader].kill();
-        // Danger: marked before the kill, hosts that the old leader still answered would count as leased.
-        self.ask_all(Command::Mark)?;
-        let elapsed_ms = || began.elapsed().as_secs_f64() * 1_000.0;
+        // The mark is set after the kill: set before it, hosts whose request the old leader still granted
+        // would count as leased by the new one.
+        self.request_all(Command::Mark)?;
+        let elapsed_ms = || started.elapsed().as_secs_f64() * 1_000.0;
         let mut new_leader_ms = None;
         let after = self.wait_for_leases(LOSS_TIMEOUT, LOSS_POLL_INTERVAL, |observations| {
             if observations.iter().any(|o| o.sample.leads) {
@@ -199,12 +203,13 @@
         let all_leased_ms = elapsed_ms();
         before.remove(leader);
         let new_leader_ms = new_leader_ms.unwrap_or(all_leased_ms);
-        Ok(LeaderLoss { new_leader_ms, all_leased_ms, ..storm(&before, &after) })
+        Ok(LeaderLoss { new_leader_ms, all_leased_ms, ..leader_loss_traffic(&before, &after) })
     }
 }
 
-/// Bytes that the loss of a leader cost: of the host that had most, and of the new leader.
-fn storm(before: &[Observation], after: &[Observation]) -> LeaderLoss {
+/// Traffic after the loss of the leader: the bytes of the simulated host that had most, and of the new
+/// leader.
+fn leader_loss_traffic(before: &[Observation], after: &[Observation]) -> LeaderLoss {
     let mut loss = LeaderLoss::default();
     for (old, new) in before.iter().zip(after) {
         let hosts = old.sample.hosts.iter().zip(&new.sample.hosts);
@@ -218,8 +223,9 @@
     loss
 }
 
-/// Adds up the cost of a role over its processes, and divides it by its hosts.
-fn cost(pairs: &[(&Observation, &Observation)], seconds: f64) -> RoleCost {
+/// Returns the mean cost of a role per host, from observations of its processes before and after the
+/// measurement.
+fn role_cost(pairs: &[(&Observation, &Observation)], seconds: f64) -> RoleCost {
     let hosts: f64 = pairs.iter().map(|(_, after)| after.sample.hosts.len() as f64).sum();
     let mut sum = RoleCost::default();
     for (before, after) in pairs {
@@ -243,6 +249,7 @@
     }
 }
 
+/// Returns the size of all files in a folder and its subfolders, bytes.
 fn disk_bytes(folder: &Path) -> u64 {
     let Ok(entries) = std::fs::read_dir(folder) else { return 0 };
     let bytes = |entry: std::fs::DirEntry| match entry.metadata() {
@@ -253,11 +260,13 @@
     entries.flatten().map(bytes).sum()
 }
 
-/// Runs a size and measures it. `program` is this very program: its other processes are started from it.
+/// Runs a fleet of the given size and measures it. `program` is the path of this program, from which child
+/// processes are started.
 ///
 /// # Errors
-/// A size that is refused, a machine that refuses something, a process that ended, or hosts that had no lease in time.
-pub fn run(size: &Size, program: &Path, loses_leader: bool) -> Result<Report, RunError> {
+/// Returns an error if the size is invalid, a resource is not available, a child process ends, or hosts have
+/// no lease in time.
+pub fn run(size: &Size, program: &Path, kill_leader: bool) -> Result<Report, RunError> {
     size.check()?;
     let folder = tempfile::tempdir()?;
     let mut workers = Workers::start(program, size, folder.path())?;
@@ -265,16 +274,16 @@
     workers.wait_for_leases(READY_TIMEOUT, POLL_INTERVAL, |_| {})?;
     let ready = started.elapsed();
     std::thread::sleep(Duration::from_secs(u64::from(size.warm_up)));
-    let before = workers.ask_all(Command::Sample)?;
-    let began = Instant::now();
+    let before = workers.request_all(Command::Sample)?;
+    let started = Instant::now();
     std::thread::sleep(Duration::from_secs(u64::from(size.seconds)));
-    let seconds = began.elapsed().as_secs_f64();
-    let after = workers.ask_all(Command::Sample)?;
-    let leader_loss = if loses_leader { Some(workers.lose_leader()?) } else { None };
+    let seconds = started.elapsed().as_secs_f64();
+    let after = workers.request_all(Command::Sample)?;
+    let leader_loss = if kill_leader { Some(workers.lose_leader()?) } else { None };
     Ok(summarize(&workers, &before, &after, Measured { seconds, ready, leader_loss, folder: folder.path() }))
 }
 
-/// What is known of a run beside its observations.
+/// Results of a run besides its observations.
 struct Measured<'a> {
     seconds: f64,
     ready: Duration,
@@ -302,17 +311,17 @@
     let mut move_ms: Vec<f64> = after.iter().flat_map(|o| o.sample.move_ms.clone()).collect();
     let scheduler = |o: &Observation| o.sample.scheduler_seconds;
     let scheduler_seconds: f64 = of_hosts.iter().map(|(old, new)| scheduler(new) - scheduler(old)).sum();
-    let hollow = host_bytes.len().max(1) as f64;
+    let simulated_hosts = host_bytes.len().max(1) as f64;
     let leads = after.iter().find(|o| o.sample.leads);
     Report {
         size: workers.size.clone(),
         measured_seconds: seconds,
         ready_seconds: measured.ready.as_secs_f64(),
-        host: cost(of_hosts, seconds),
+        host: role_cost(of_hosts, seconds),
         host_bytes_p99: quantile(&mut host_bytes, 0.99),
-        leader: cost(&leader, seconds),
-        follower: cost(&followers, seconds),
-        scheduler_percent: scheduler_seconds / hollow / seconds * 100.0,
+        leader: role_cost(&leader, seconds),
+        follower: role_cost(&followers, seconds),
+        scheduler_percent: scheduler_seconds / simulated_hosts / seconds * 100.0,
         all_resident_bytes: after.iter().map(|o| o.usage.resident_bytes).sum(),
         moves: MoveTimes {
             count: move_ms.len(),
--- a/crates/scale/src/size.rs
+++ b/crates/scale/src/size.rs
@@ -1,105 +1,106 @@
-//! The size of a run, and why one is refused.
+//! Size of a run and its validation.
 
 use serde::{Deserialize, Serialize};
 
-/// Most hosts of a run.
+/// Maximum number of hosts of a run.
 pub const MAX_HOSTS: u32 = 4_096;
-/// Most budgets of a run.
+/// Maximum number of budgets of a run.
 pub const MAX_BUDGETS: u32 = 100_000;
-/// Most nodes of a run.
+/// Maximum number of nodes of a run.
 pub const MAX_NODES: u32 = 20_000;
-/// Most processes of a run, this program included.
+/// Maximum number of processes of a run, including this program.
 pub const MAX_PROCESSES: u32 = 200;
-/// Most memory of all processes together, bytes.
+/// Maximum memory of all processes together, bytes.
 pub const MAX_MEMORY_BYTES: u64 = 12 << 30;
-/// Most seconds that are measured.
+/// Maximum duration of the measurement, seconds.
 pub const MAX_SECONDS: u32 = 600;
-/// Hollow hosts that share a process.
+/// Number of simulated hosts that share a process.
 pub const HOSTS_PER_PROCESS: u32 = 133;
 
-/// Memory of a hollow host without budgets and nodes, bytes, rounded up from what was measured.
+/// Memory of a simulated host without budgets and nodes, bytes, rounded up.
 const BYTES_PER_HOST: u64 = 1 << 20;
 /// Memory of one budget at one host, bytes, rounded up.
 const BYTES_PER_BUDGET: u64 = 1_024;
 /// Memory of one node at one host, bytes, rounded up.
 const BYTES_PER_NODE: u64 = 16 << 10;
 
-/// What is run.
+/// Size of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Size {
-    /// Hosts, voters included.
+    /// Number of hosts, including voters.
     pub hosts: u32,
-    /// Voters, each a process of its own.
+    /// Number of voters, each in its own process.
     pub voters: u16,
-    /// Nodes in each host's list.
+    /// Number of nodes in the list of each host.
     pub nodes: u32,
-    /// Budgets: two for each volume with a limit.
+    /// Number of budgets: two for each volume with a limit.
     pub budgets: u32,
-    /// Hosts whose clients use a volume at a time; all where there are fewer.
+    /// Number of hosts whose clients use a volume at a time; all hosts if there are fewer.
     pub users: u32,
-    /// Part of the volumes whose load moves to another host each second.
+    /// Fraction of the volumes whose load moves to another host each second.
     pub moving: f64,
-    /// How far measured demand strays from its mean, as a fraction of it.
+    /// Greatest deviation of measured demand from its mean, as a fraction of the mean.
     pub jitter: f64,
-    /// The least fraction of a budget that is of use to a host: where so much for each user is more than the whole, they take
-    /// turns.
+    /// Least useful fraction of a budget for a host. If this fraction for each user exceeds the whole budget,
+    /// users take turns.
     pub least: f64,
-    /// Seconds that are measured.
+    /// Duration of the measurement, seconds.
     pub seconds: u32,
-    /// Seconds before that.
+    /// Duration of the warm-up before the measurement, seconds.
     pub warm_up: u32,
-    /// Seed of all draws.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// Why a size is refused.
+/// Why a size is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SizeError {
-    /// A figure is out of its range.
-    #[error("{field} = {value} is not between {least} and {most}")]
+    /// A value is out of range.
+    #[error("{field} = {value} is out of range, expected {least} to {most}")]
     Range {
-        /// The flag.
+        /// Name of the flag.
         field: &'static str,
-        /// What was given.
+        /// The given value.
         value: f64,
-        /// The least that is taken.
+        /// Smallest valid value.
         least: f64,
-        /// The most that is taken.
+        /// Greatest valid value.
         most: f64,
     },
-    /// Only odd numbers of voters have majorities worth their number.
-    #[error("voters = {0}: 1, 3, 5 or 7 are possible")]
+    /// The number of voters is not supported. It must be odd, since an even number tolerates no more failures
+    /// than the odd one below it.
+    #[error("voters = {0} is not supported, expected 1, 3, 5 or 7")]
     Voters(u16),
-    /// The run would need more than it may have.
-    #[error("hosts = {hosts}, nodes = {nodes} and budgets = {budgets} need about {needed_mib} MiB, {most_mib} MiB are allowed")]
+    /// The run would need too much memory.
+    #[error("hosts = {hosts}, nodes = {nodes} and budgets = {budgets} need about {needed_mib} MiB of memory, at most {most_mib} MiB are allowed")]
     Memory {
-        /// Hosts.
+        /// Number of hosts.
         hosts: u32,
-        /// Nodes.
+        /// Number of nodes.
         nodes: u32,
-        /// Budgets.
+        /// Number of budgets.
         budgets: u32,
-        /// What they need.
+        /// Estimated memory, MiB.
         needed_mib: u64,
-        /// What is allowed.
+        /// Allowed memory, MiB.
         most_mib: u64,
     },
     /// The run would need too many processes.
-    #[error("hosts = {hosts} need {needed} processes, {most} are allowed")]
+    #[error("hosts = {hosts} need {needed} processes, at most {most} are allowed")]
     Processes {
-        /// Hosts.
+        /// Number of hosts.
         hosts: u32,
-        /// Processes that they need.
+        /// Number of processes needed.
         needed: u32,
-        /// What is allowed.
+        /// Number of processes allowed.
         most: u32,
     },
 }
 
-/// Checks one figure.
+/// Checks that a value is within its range.
 ///
 /// # Errors
-/// It is out of its range.
+/// Returns [`SizeError::Range`] if it is not.
 pub fn in_range(field: &'static str, value: f64, least: f64, most: f64) -> Result<(), SizeError> {
     if (least..=most).contains(&value) {
         Ok(())
@@ -109,10 +110,11 @@
 }
 
 impl Size {
-    /// Checks the size before anything starts.
+    /// Validates the size before anything starts.
     ///
     /// # Errors
-    /// The first figure that is out of its range, or what the whole would need.
+    /// Returns the first value that is out of range, or that the run would need too many processes or too
+    /// much memory.
     pub fn check(&self) -> Result<(), SizeError> {
         in_range("hosts", f64::from(self.hosts), 1.0, f64::from(MAX_HOSTS))?;
         in_range("nodes", f64::from(self.nodes), 1.0, f64::from(MAX_NODES))?;
@@ -144,22 +146,22 @@
         Ok(())
     }
 
-    /// Volumes with a limit: one for two budgets.
+    /// Returns the number of volumes with a limit: one for two budgets.
     pub fn volumes(&self) -> u32 {
         self.budgets.div_ceil(2)
     }
 
-    /// Processes of the run, this one included.
+    /// Returns the number of processes of the run, including this one.
     pub fn processes(&self) -> u32 {
-        let hollow = self.hosts.saturating_sub(u32::from(self.voters));
-        1 + u32::from(self.voters) + hollow.div_ceil(HOSTS_PER_PROCESS)
+        let simulated = self.hosts.saturating_sub(u32::from(self.voters));
+        1 + u32::from(self.voters) + simulated.div_ceil(HOSTS_PER_PROCESS)
     }
 
-    /// Estimate of the memory of all processes, bytes.
+    /// Returns an estimate of the memory of all processes, bytes.
     pub fn memory_bytes(&self) -> u64 {
-        let each = BYTES_PER_HOST
+        let bytes_per_host = BYTES_PER_HOST
             + u64::from(self.budgets) * BYTES_PER_BUDGET
             + u64::from(self.nodes) * BYTES_PER_NODE;
-        u64::from(self.hosts) * each
+        u64::from(self.hosts) * bytes_per_host
     }
 }
