--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -235,12 +235,12 @@
     #[error("{0}")]
     Syntax(String),
     /// A value is invalid.
-    #[error("{entry}: {what}")]
+    #[error("{entry}: {problem}")]
     Value {
         /// Table or key that holds it.
         entry: String,
         /// What is wrong and what is expected.
-        what: String,
+        problem: String,
     },
 }
 
@@ -251,7 +251,8 @@
     /// Returns the first error found.
     pub fn from_toml(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError::Syntax(e.to_string()))?;
-        let invalid = |entry: String, what: &str| Err(ScenarioError::Value { entry, what: what.to_owned() });
+        let invalid =
+            |entry: String, problem: &str| Err(ScenarioError::Value { entry, problem: problem.to_owned() });
         if scenario.run.hosts == 0
             || scenario.nodes.count == 0
             || scenario.nodes.cores == 0
--- a/crates/load/src/stats.rs
+++ b/crates/load/src/stats.rs
@@ -15,7 +15,7 @@
     Refused,
     /// The status was CHECK CONDITION or another one.
     Failed,
-    /// The connection closed before the response, or no response had arrived when the run ended.
+    /// The connection closed before the response arrived.
     Lost,
 }
 
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -67,17 +67,17 @@
     type Err = RequestSizesError;
 
     fn from_str(text: &str) -> Result<Self, RequestSizesError> {
-        let one = |entry: &str| {
-            let bad = |what: String| RequestSizesError(entry.to_owned(), what);
-            let (next_size, weight) = entry.split_once(':').unwrap_or((entry, "1"));
-            let next_size: pearfork_host::units::Size = next_size.parse().map_err(|e| bad(format!("{e}")))?;
-            let weight: f64 = weight.parse().map_err(|_| bad("the weight is not a number".to_owned()))?;
-            if next_size.bytes() == 0 || !(weight > 0.0 && weight.is_finite()) {
-                return Err(bad("size and weight must be above 0".to_owned()));
+        let parse_entry = |entry: &str| {
+            let error = |problem: String| RequestSizesError(entry.to_owned(), problem);
+            let (size, weight) = entry.split_once(':').unwrap_or((entry, "1"));
+            let size: pearfork_host::units::Size = size.parse().map_err(|e| error(format!("{e}")))?;
+            let weight: f64 = weight.parse().map_err(|_| error("the weight is not a number".to_owned()))?;
+            if size.bytes() == 0 || !(weight > 0.0 && weight.is_finite()) {
+                return Err(error("size and weight must be above 0".to_owned()));
             }
-            Ok((next_size.bytes(), weight))
+            Ok((size.bytes(), weight))
         };
-        text.split(',').map(|p| one(p.trim())).collect::<Result<Vec<_>, _>>().map(RequestSizes)
+        text.split(',').map(|p| parse_entry(p.trim())).collect::<Result<Vec<_>, _>>().map(RequestSizes)
     }
 }
 
