--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load generator for iSCSI targets that measures latency without coordinated omission and verifies what it
-//! reads.
+//! Load generator for iSCSI targets that measures latency and verifies the data it reads. At a fixed rate,
+//! latency is measured without coordinated omission.
 //!
 //! [`workload`] generates requests, [`oracle`] tracks the valid contents of each block, [`stamp`] encodes and
 //! decodes block contents: none of them does I/O or reads a clock. [`url`] parses the address of a unit;
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -183,7 +183,7 @@
     }
 
     /// Kills the leader and measures the recovery.
-    fn lose_leader(&mut self) -> Result<LeaderLoss, RunError> {
+    fn kill_leader(&mut self) -> Result<LeaderLoss, RunError> {
         let mut before = self.request_all(Command::Sample)?;
         let Some(leader) = before.iter().position(|o| o.sample.leads) else {
             return Err(RunError::Process { process: 0, reason: "no voter is the leader".to_owned() });
@@ -275,11 +275,11 @@
     let ready = started.elapsed();
     std::thread::sleep(Duration::from_secs(u64::from(size.warm_up)));
     let before = workers.request_all(Command::Sample)?;
-    let started = Instant::now();
+    let measurement_start = Instant::now();
     std::thread::sleep(Duration::from_secs(u64::from(size.seconds)));
-    let seconds = started.elapsed().as_secs_f64();
+    let seconds = measurement_start.elapsed().as_secs_f64();
     let after = workers.request_all(Command::Sample)?;
-    let leader_loss = if kill_leader { Some(workers.lose_leader()?) } else { None };
+    let leader_loss = if kill_leader { Some(workers.kill_leader()?) } else { None };
     Ok(summarize(&workers, &before, &after, Measured { seconds, ready, leader_loss, folder: folder.path() }))
 }
 
@@ -300,24 +300,24 @@
     let seconds = measured.seconds;
     let pairs: Vec<(&Observation, &Observation)> = before.iter().zip(after).collect();
     let voters = usize::from(workers.size.voters);
-    let (of_voters, of_hosts) = pairs.split_at(voters.min(pairs.len()));
-    let leader: Vec<_> = of_voters.iter().copied().filter(|(_, o)| o.sample.leads).collect();
-    let followers: Vec<_> = of_voters.iter().copied().filter(|(_, o)| !o.sample.leads).collect();
+    let (voter_pairs, host_pairs) = pairs.split_at(voters.min(pairs.len()));
+    let leader: Vec<_> = voter_pairs.iter().copied().filter(|(_, o)| o.sample.leads).collect();
+    let followers: Vec<_> = voter_pairs.iter().copied().filter(|(_, o)| !o.sample.leads).collect();
     let per_host = |(old, new): &(&Observation, &Observation)| -> Vec<f64> {
         let pairs = old.sample.hosts.iter().zip(&new.sample.hosts);
         pairs.map(|(old, new)| (new.bytes - old.bytes) as f64 / seconds).collect()
     };
-    let mut host_bytes: Vec<f64> = of_hosts.iter().flat_map(per_host).collect();
+    let mut host_bytes: Vec<f64> = host_pairs.iter().flat_map(per_host).collect();
     let mut move_ms: Vec<f64> = after.iter().flat_map(|o| o.sample.move_ms.clone()).collect();
     let scheduler = |o: &Observation| o.sample.scheduler_seconds;
-    let scheduler_seconds: f64 = of_hosts.iter().map(|(old, new)| scheduler(new) - scheduler(old)).sum();
+    let scheduler_seconds: f64 = host_pairs.iter().map(|(old, new)| scheduler(new) - scheduler(old)).sum();
     let simulated_hosts = host_bytes.len().max(1) as f64;
-    let leads = after.iter().find(|o| o.sample.leads);
+    let last_leader = after.iter().find(|o| o.sample.leads);
     Report {
         size: workers.size.clone(),
         measured_seconds: seconds,
         ready_seconds: measured.ready.as_secs_f64(),
-        host: role_cost(of_hosts, seconds),
+        host: role_cost(host_pairs, seconds),
         host_bytes_p99: quantile(&mut host_bytes, 0.99),
         leader: role_cost(&leader, seconds),
         follower: role_cost(&followers, seconds),
@@ -329,8 +329,8 @@
             p99_ms: quantile(&mut move_ms, 0.99),
             max_ms: quantile(&mut move_ms, 1.0),
         },
-        lent_budgets: leads.map_or(0, |o| o.sample.lent_budgets),
-        lent: leads.map_or(0.0, |o| o.sample.lent),
+        lent_budgets: last_leader.map_or(0, |o| o.sample.lent_budgets),
+        lent: last_leader.map_or(0.0, |o| o.sample.lent),
         disk_bytes: disk_bytes(measured.folder),
         leader_loss: measured.leader_loss,
     }
