--- a/crates/iscsi/src/framer.rs
+++ b/crates/iscsi/src/framer.rs
@@ -42,7 +42,7 @@
     }
 
     /// How many bytes are still missing to the PDU under way (at least 1): a hint for reading.
-    pub fn wanted(&self) -> usize {
+    pub fn missing_bytes(&self) -> usize {
         if self.buffer.len() < BHS_LEN {
             return BHS_LEN - self.buffer.len();
         }
@@ -149,7 +149,7 @@
     }
 
     /// Bytes that wait to be taken.
-    pub fn queued(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.queued
     }
 
@@ -190,7 +190,7 @@
                 (d.header_digest, d.data_digest) = (digests, digests);
                 d.buffer().extend_from_slice(&bytes[..cut]);
                 assert_eq!(d.next_pdu().unwrap(), None);
-                assert!(d.wanted() <= bytes.len() - cut);
+                assert!(d.missing_bytes() <= bytes.len() - cut);
                 d.buffer().extend_from_slice(&bytes[cut..]);
                 let got = d.next_pdu().unwrap().unwrap();
                 assert_eq!((got.data.to_bytes(), got.ahs.clone()), (pdu.data.to_bytes(), pdu.ahs.clone()));
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -204,13 +204,13 @@
     }
 
     /// Whether the full feature phase has been reached.
-    pub fn is_ready(&self) -> bool {
+    pub fn is_logged_in(&self) -> bool {
         self.phase == Phase::Full
     }
 
     /// Whether the target's command window has room.
-    pub fn has_room(&self) -> bool {
-        self.is_ready() && !sn_less(self.max_cmd_sn, self.cmd_sn)
+    pub fn window_open(&self) -> bool {
+        self.is_logged_in() && !sn_less(self.max_cmd_sn, self.cmd_sn)
     }
 
     /// Commands without an answer.
@@ -225,7 +225,7 @@
 
     /// Sends a command; its task tag. `None` where the window has no room.
     pub fn submit(&mut self, command: Command) -> Option<u32> {
-        if !self.has_room() {
+        if !self.window_open() {
             return None;
         }
         let itt = self.tag();
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -189,9 +189,9 @@
         &mut self.decoder
     }
 
-    /// Bytes that wait to be sent.
-    pub fn queued(&self) -> usize {
-        self.encoder.queued()
+    /// Number of output bytes that were not taken yet.
+    pub fn unsent_bytes(&self) -> usize {
+        self.encoder.queued_bytes()
     }
 
     /// Takes the bytes to be sent, in order.
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -51,7 +51,7 @@
     fn new(digests: bool, extension: bool) -> Pair {
         let mut p = Pair::with(config(DISK, digests, extension), extension, limits());
         p.run().unwrap();
-        assert!(p.initiator.is_ready());
+        assert!(p.initiator.is_logged_in());
         p
     }
 
@@ -154,11 +154,11 @@
         .count();
     assert_eq!(sent, 4);
     p.run().unwrap();
-    assert!(!p.initiator.has_room());
+    assert!(!p.initiator.window_open());
     let tag = p.commands()[0].tag;
     p.target.respond(tag, Response { status: 8, qualifier: 3, ..Default::default() });
     p.run().unwrap();
-    assert!(p.initiator.has_room());
+    assert!(p.initiator.window_open());
     let d = p.done().pop().unwrap();
     assert_eq!((d.status, d.qualifier), (8, 3), "busy, with the delay that level 2 carries");
 }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,6 +1,6 @@
-//! The asking side: one connection to a target, shared by whoever submits.
+//! An initiator's connection to a target; several threads may submit commands on it.
 
-use crate::stream::{read_once, spawn_small_stack, write_runs, Direction, StreamTap};
+use crate::stream::{read_once, spawn_small_stack, write_chunks, Direction, StreamTap};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_iscsi::{
     Command, CommandCompletion, Initiator, InitiatorConfig, InitiatorError, InitiatorEvent,
@@ -11,56 +11,58 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a submitter knows a command by.
+/// The submitter's identifier of a command; it comes back with the command's completion.
 pub trait CommandToken: Send + 'static {
-    /// Whether it is still to be sent; asked again where it had to wait for the command window.
+    /// Whether the command is still to be sent. Checked just before a command that was queued for the command
+    /// window goes out.
     fn is_needed(&self) -> bool {
         true
     }
 }
 
-/// A connection that did not come about; nothing was sent on it but a login.
+/// A connection that could not be established; no command was sent on it.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The socket.
+    /// The TCP connection could not be opened, or was lost during login.
     #[error("no connection to {address}: {source}")]
     Socket {
-        /// Where to.
+        /// Address of the target.
         address: SocketAddr,
-        /// Why.
+        /// The socket error.
         source: io::Error,
     },
-    /// The login.
-    #[error("no login at {address}: {source}")]
+    /// The iSCSI login failed.
+    #[error("iSCSI login at {address} failed: {source}")]
     Login {
-        /// Where to.
+        /// Address of the target.
         address: SocketAddr,
-        /// Why.
+        /// The protocol error or login status.
         source: InitiatorError,
     },
 }
 
-/// What a connection tells, from its reading thread.
+/// An event of a connection, delivered on its reader thread.
 #[derive(Debug)]
 pub enum ConnectionEvent<T> {
-    /// A command ended.
+    /// A command completed.
     Completed(T, Box<CommandCompletion>),
-    /// The target answered an abort before the command.
+    /// The target confirmed an abort before it responded to the command.
     Aborted(T),
-    /// The target wants the session to end.
+    /// The target asks the initiator to log out.
     LogoutRequested,
-    /// It is over. First what was sent and has no answer, then what was never sent.
+    /// The connection is closed: the reason, the commands that were sent and have no response, and the
+    /// commands that were never sent.
     Closed(String, Vec<T>, Vec<T>),
 }
 
 struct State<T> {
     initiator: Initiator,
     sent: BTreeMap<u32, T>,
-    waiting: VecDeque<(T, Command)>,
+    queued: VecDeque<(T, Command)>,
     open: bool,
 }
 
-/// One session of one connection.
+/// An iSCSI session with a single connection.
 pub struct Connection<T> {
     state: Mutex<State<T>>,
     wake: Sender<()>,
@@ -68,56 +70,57 @@
     tsih: u16,
 }
 
-/// Commands that wait for the window at the most.
-const MOST_WAITING: usize = 256;
+/// Most commands that are queued while the command window is closed.
+const MAX_QUEUED: usize = 256;
 
 impl<T: CommandToken> Connection<T> {
-    /// Connects and logs in, within `within` for both; then `events` is called for all that comes.
+    /// Connects and logs in; `timeout` covers both. Afterwards `on_event` is called for each event.
     ///
     /// # Errors
-    /// Nothing but a login was sent.
+    /// Fails if the target cannot be reached or refuses the login. No command was sent.
     pub fn open(
         address: SocketAddr,
         config: InitiatorConfig,
-        within: Duration,
+        timeout: Duration,
         tap: StreamTap,
-        events: impl FnMut(ConnectionEvent<T>) + Send + 'static,
+        on_event: impl FnMut(ConnectionEvent<T>) + Send + 'static,
     ) -> Result<Arc<Connection<T>>, ConnectError> {
-        let socket = |source| ConnectError::Socket { address, source };
-        let until = Instant::now() + within;
-        let mut stream = TcpStream::connect_timeout(&address, within).map_err(socket)?;
-        stream.set_nodelay(true).map_err(socket)?;
+        let socket_error = |source| ConnectError::Socket { address, source };
+        let deadline = Instant::now() + timeout;
+        let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(socket_error)?;
+        stream.set_nodelay(true).map_err(socket_error)?;
         let mut initiator = Initiator::new(config);
-        let mut early = Vec::new();
-        write_runs(&mut stream, initiator.take_output(), &tap).map_err(socket)?;
-        while !initiator.is_ready() {
-            let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-            stream.set_read_timeout(Some(left)).map_err(socket)?;
+        let mut login_events = Vec::new();
+        write_chunks(&mut stream, initiator.take_output(), &tap).map_err(socket_error)?;
+        while !initiator.is_logged_in() {
+            let remaining = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+            stream.set_read_timeout(Some(remaining)).map_err(socket_error)?;
             let mut buffer = std::mem::take(initiator.decoder().buffer());
-            let had = buffer.len();
-            let got = read_once(&mut stream, &mut buffer, 48).map_err(socket)?;
-            if got == 0 {
-                return Err(socket(io::ErrorKind::UnexpectedEof.into()));
+            let old_len = buffer.len();
+            let read = read_once(&mut stream, &mut buffer, 48).map_err(socket_error)?;
+            if read == 0 {
+                return Err(socket_error(io::ErrorKind::UnexpectedEof.into()));
             }
-            tap.bytes(Direction::In, &buffer[had..]);
+            tap.bytes(Direction::In, &buffer[old_len..]);
             *initiator.decoder().buffer() = buffer;
-            let login = |source| ConnectError::Login { address, source };
-            initiator.process(&mut early).map_err(login)?;
+            let login_error = |source| ConnectError::Login { address, source };
+            initiator.process(&mut login_events).map_err(login_error)?;
         }
-        stream.set_read_timeout(None).map_err(socket)?;
-        let tsih = match early.first() {
+        stream.set_read_timeout(None).map_err(socket_error)?;
+        let tsih = match login_events.first() {
             Some(InitiatorEvent::LoggedIn(tsih)) => *tsih,
             _ => 0,
         };
-        let (wake, woken) = bounded(1);
-        let state = State { initiator, sent: BTreeMap::new(), waiting: VecDeque::new(), open: true };
-        let own = stream.try_clone().map_err(socket)?;
-        let connection = Arc::new(Connection { state: Mutex::new(state), wake, stream: own, tsih });
-        let (writing, reading) = (connection.clone(), connection.clone());
-        let (write_half, write_tap) = (stream.try_clone().map_err(socket)?, tap.clone());
-        spawn_small_stack("node-writer", move || writing.write_loop(write_half, &woken, &write_tap))
-            .map_err(socket)?;
-        spawn_small_stack("node-reader", move || reading.read_loop(stream, &tap, events)).map_err(socket)?;
+        let (wake, wakeups) = bounded(1);
+        let state = State { initiator, sent: BTreeMap::new(), queued: VecDeque::new(), open: true };
+        let shared_stream = stream.try_clone().map_err(socket_error)?;
+        let connection = Arc::new(Connection { state: Mutex::new(state), wake, stream: shared_stream, tsih });
+        let (writer, reader) = (connection.clone(), connection.clone());
+        let (write_half, write_tap) = (stream.try_clone().map_err(socket_error)?, tap.clone());
+        spawn_small_stack("node-writer", move || writer.write_loop(write_half, &wakeups, &write_tap))
+            .map_err(socket_error)?;
+        spawn_small_stack("node-reader", move || reader.read_loop(stream, &tap, on_event))
+            .map_err(socket_error)?;
         Ok(connection)
     }
 
@@ -125,48 +128,49 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The session's handle, as the target gave it.
+    /// The TSIH (target session identifying handle) that the target assigned.
     pub fn tsih(&self) -> u16 {
         self.tsih
     }
 
-    /// Whether both sides speak the project's extension.
+    /// Whether the node extension was negotiated at login.
     pub fn extension_negotiated(&self) -> bool {
         self.lock().initiator.params().extension
     }
 
-    /// Whether it can still be used.
+    /// Whether the connection is still open.
     pub fn is_open(&self) -> bool {
         self.lock().open
     }
 
-    /// Commands without an answer, sent or waiting for the window.
+    /// Number of commands without a response, both sent and queued.
     pub fn outstanding(&self) -> usize {
         let state = self.lock();
-        state.sent.len() + state.waiting.len()
+        state.sent.len() + state.queued.len()
     }
 
-    /// Sends a command, at once or when the window opens.
+    /// Sends a command, or queues it until the command window opens.
     ///
     /// # Errors
-    /// The token comes back: the connection is closed, or too many wait already. Nothing was sent.
+    /// Returns the token if the connection is closed or too many commands are queued. Nothing was sent.
     pub fn submit(&self, token: T, command: Command) -> Result<(), T> {
         let mut state = self.lock();
-        if !state.open || state.waiting.len() >= MOST_WAITING {
+        if !state.open || state.queued.len() >= MAX_QUEUED {
             return Err(token);
         }
-        state.waiting.push_back((token, command));
+        state.queued.push_back((token, command));
         state.fill_window();
         drop(state);
         self.wake();
         Ok(())
     }
 
-    /// Asks the target to abort what the predicate picks; what was never sent is dropped without a word.
-    pub fn abort(&self, pick: impl Fn(&T) -> bool) {
+    /// Asks the target to abort the commands that match the predicate. Queued ones that match are dropped
+    /// without an event.
+    pub fn abort(&self, matches: impl Fn(&T) -> bool) {
         let mut state = self.lock();
-        state.waiting.retain(|(t, _)| !pick(t));
-        let tags: Vec<u32> = state.sent.iter().filter(|(_, t)| pick(t)).map(|(itt, _)| *itt).collect();
+        state.queued.retain(|(t, _)| !matches(t));
+        let tags: Vec<u32> = state.sent.iter().filter(|(_, t)| matches(t)).map(|(itt, _)| *itt).collect();
         for itt in tags {
             state.initiator.abort(itt);
         }
@@ -174,19 +178,19 @@
         self.wake();
     }
 
-    /// Sends a task management function (RFC 7143, section 11.5.1) for a unit.
+    /// Sends a task management function (RFC 7143, section 11.5.1) for a logical unit.
     pub fn send_task_management(&self, function: u8, lun: u64) {
         self.lock().initiator.send_task_management(function, lun);
         self.wake();
     }
 
-    /// Logs out; the target closes.
+    /// Sends a logout request; the target then closes the connection.
     pub fn logout(&self) {
         self.lock().initiator.logout();
         self.wake();
     }
 
-    /// Drops the connection.
+    /// Closes the connection without a logout.
     pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
         self.wake();
@@ -196,20 +200,20 @@
         let _ = self.wake.try_send(());
     }
 
-    fn write_loop(&self, mut stream: TcpStream, woken: &Receiver<()>, tap: &StreamTap) {
-        while woken.recv().is_ok() {
+    fn write_loop(&self, mut stream: TcpStream, wakeups: &Receiver<()>, tap: &StreamTap) {
+        while wakeups.recv().is_ok() {
             loop {
-                let (runs, open) = {
+                let (chunks, open) = {
                     let mut state = self.lock();
                     (state.initiator.take_output(), state.open)
                 };
-                if runs.is_empty() {
+                if chunks.is_empty() {
                     if !open {
                         return;
                     }
                     break;
                 }
-                if write_runs(&mut stream, runs, tap).is_err() {
+                if write_chunks(&mut stream, chunks, tap).is_err() {
                     let _ = stream.shutdown(Shutdown::Both);
                     return;
                 }
@@ -217,67 +221,73 @@
         }
     }
 
-    fn read_loop(&self, mut stream: TcpStream, tap: &StreamTap, mut events: impl FnMut(ConnectionEvent<T>)) {
-        let why = loop {
-            let (mut buffer, wanted) = {
+    fn read_loop(
+        &self,
+        mut stream: TcpStream,
+        tap: &StreamTap,
+        mut on_event: impl FnMut(ConnectionEvent<T>),
+    ) {
+        let reason = loop {
+            let (mut buffer, missing) = {
                 let mut state = self.lock();
-                let wanted = state.initiator.decoder().wanted();
-                (std::mem::take(state.initiator.decoder().buffer()), wanted)
+                let missing = state.initiator.decoder().missing_bytes();
+                (std::mem::take(state.initiator.decoder().buffer()), missing)
             };
-            let had = buffer.len();
-            match read_once(&mut stream, &mut buffer, wanted) {
+            let old_len = buffer.len();
+            match read_once(&mut stream, &mut buffer, missing) {
                 Ok(0) => break "closed by the peer".to_owned(),
-                Ok(_) => tap.bytes(Direction::In, &buffer[had..]),
+                Ok(_) => tap.bytes(Direction::In, &buffer[old_len..]),
                 Err(e) => break e.to_string(),
             }
-            let mut told = Vec::new();
-            let worked = {
+            let mut events = Vec::new();
+            let result = {
                 let mut state = self.lock();
                 *state.initiator.decoder().buffer() = buffer;
-                let mut came = Vec::new();
-                let worked = state.initiator.process(&mut came);
-                for event in came {
+                let mut session_events = Vec::new();
+                let result = state.initiator.process(&mut session_events);
+                for event in session_events {
                     match event {
                         InitiatorEvent::Completed(done) => {
                             if let Some(token) = state.sent.remove(&done.itt) {
-                                told.push(ConnectionEvent::Completed(token, done));
+                                events.push(ConnectionEvent::Completed(token, done));
                             }
                         }
                         InitiatorEvent::Aborted(itt, _) => {
-                            told.extend(state.sent.remove(&itt).map(ConnectionEvent::Aborted));
+                            events.extend(state.sent.remove(&itt).map(ConnectionEvent::Aborted));
                         }
-                        InitiatorEvent::LogoutRequested => told.push(ConnectionEvent::LogoutRequested),
+                        InitiatorEvent::LogoutRequested => events.push(ConnectionEvent::LogoutRequested),
                         InitiatorEvent::LoggedIn(_) | InitiatorEvent::Text(_) | InitiatorEvent::LoggedOut => {
                         }
                     }
                 }
                 state.fill_window();
-                worked
+                result
             };
             self.wake();
-            told.into_iter().for_each(&mut events);
-            if let Err(e) = worked {
+            events.into_iter().for_each(&mut on_event);
+            if let Err(e) = result {
                 break e.to_string();
             }
         };
-        let (sent, waiting) = {
+        let (sent, queued) = {
             let mut state = self.lock();
             state.open = false;
-            (std::mem::take(&mut state.sent), std::mem::take(&mut state.waiting))
+            (std::mem::take(&mut state.sent), std::mem::take(&mut state.queued))
         };
         let _ = stream.shutdown(Shutdown::Both);
         tap.closed();
         self.wake();
-        let unsent = waiting.into_iter().map(|(t, _)| t).collect();
-        events(ConnectionEvent::Closed(why, sent.into_values().collect(), unsent));
+        let unsent = queued.into_iter().map(|(t, _)| t).collect();
+        on_event(ConnectionEvent::Closed(reason, sent.into_values().collect(), unsent));
     }
 }
 
 impl<T: CommandToken> State<T> {
-    /// Sends what waited for the window. Danger: what its owner gave up while it waited must not go out.
+    /// Sends queued commands while the command window has room. Commands that were given up while queued are
+    /// dropped: they must not reach the target any more.
     fn fill_window(&mut self) {
-        while self.initiator.has_room() {
-            let Some((token, command)) = self.waiting.pop_front() else { return };
+        while self.initiator.window_open() {
+            let Some((token, command)) = self.queued.pop_front() else { return };
             if !token.is_needed() {
                 continue;
             }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,5 +1,5 @@
-//! As much HTTP/1.1 as health, metrics, the node list and control need: GET and POST without a body, one request a
-//! connection, loopback.
+//! The part of HTTP/1.1 that health, metrics, the node list and control need: GET and POST without a request
+//! body, one request per connection, on loopback.
 
 mod response;
 
@@ -12,111 +12,113 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Most bytes of a request's head.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// Bytes that a caller reads at once.
-const PIECE: usize = 16 * 1024;
-/// Most requests in work at once; long polls of many hosts count.
-const MAX_OPEN: usize = 1024;
+/// Size of the client's read buffer in bytes.
+const READ_BUFFER: usize = 16 * 1024;
+/// Maximum number of requests that the server handles at once, including the long polls of many hosts.
+const MAX_OPEN_REQUESTS: usize = 1024;
 
-/// What a caller wants done.
+/// The methods that the server accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Told something.
+    /// Reads something.
     Get,
-    /// Something done. Such a call carries the header `X-Pearfork-Ctl`: a page in a browser can send a plain POST to
-    /// any address of the machine that it is shown on, and can't send that header without asking first.
+    /// Changes something. The request must carry the header `X-Pearfork-Ctl`: a web page can make a browser
+    /// send a plain POST to any address of its machine, but not one with this header, which needs a CORS
+    /// preflight.
     Post,
 }
 
-/// A call.
+/// A request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// What the caller wants done.
+    /// The request method.
     pub method: Method,
-    /// To what, with its query.
+    /// The path with its query string.
     pub path: &'a str,
 }
 
-/// The header of a call that changes something.
+/// The header that a POST must carry.
 const CTL_HEADER: &str = "X-Pearfork-Ctl";
 
-/// What is answered.
+/// A response that the server sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Status code.
+    /// The status code.
     pub status: u16,
-    /// Type of the body.
+    /// The value of the `Content-Type` header.
     pub content_type: &'static str,
-    /// The body.
+    /// The response body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// Status 200.
+    /// A response with status 200.
     pub fn ok(content_type: &'static str, body: impl Into<Vec<u8>>) -> Response {
         Response { status: 200, content_type, body: body.into() }
     }
 
-    /// An error in words.
-    pub fn error(status: u16, words: &str) -> Response {
-        Response { status, content_type: "text/plain; charset=utf-8", body: format!("{words}\n").into() }
+    /// An error response with a plain-text message.
+    pub fn error(status: u16, message: &str) -> Response {
+        Response { status, content_type: "text/plain; charset=utf-8", body: format!("{message}\n").into() }
     }
 }
 
-/// A call that failed.
+/// A request that failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The socket.
+    /// The connection failed or timed out.
     #[error("{address}: {source}")]
     Socket {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// The socket error.
         source: io::Error,
     },
-    /// The answer can't be read.
-    #[error("{address}: answer makes no sense: {what}")]
+    /// The response is invalid or incomplete.
+    #[error("{address}: invalid HTTP response: {error}")]
     InvalidResponse {
-        /// From where.
+        /// Address of the server.
         address: SocketAddr,
-        /// What is wrong with it.
-        what: ResponseError,
+        /// What is wrong with the response.
+        error: ResponseError,
     },
 }
 
-/// A listener that answers calls until it is dropped.
+/// An HTTP server that runs until it is dropped.
 pub struct Server {
     address: SocketAddr,
     stopping: Arc<AtomicBool>,
 }
 
 impl Server {
-    /// Begins to answer GETs; each request has a thread of its own.
+    /// Starts a server that accepts GET only; each request is handled on a thread of its own.
     ///
     /// # Errors
-    /// No thread could be had.
+    /// The thread that accepts connections could not be started.
     pub fn start(
         listener: TcpListener,
-        answer: impl Fn(&str) -> Response + Send + Sync + 'static,
+        handler: impl Fn(&str) -> Response + Send + Sync + 'static,
     ) -> io::Result<Server> {
-        Server::start_with_methods(listener, move |call| match call.method {
-            Method::Get => answer(call.path),
-            Method::Post => Response::error(405, "only GET is answered here"),
+        Server::start_with_methods(listener, move |request| match request.method {
+            Method::Get => handler(request.path),
+            Method::Post => Response::error(405, "only GET is supported here"),
         })
     }
 
-    /// Begins to answer GETs and POSTs.
+    /// Starts a server that accepts GET and POST.
     ///
     /// # Errors
-    /// No thread could be had.
+    /// The thread that accepts connections could not be started.
     pub fn start_with_methods(
         listener: TcpListener,
-        answer: impl Fn(Request<'_>) -> Response + Send + Sync + 'static,
+        handler: impl Fn(Request<'_>) -> Response + Send + Sync + 'static,
     ) -> io::Result<Server> {
         let address = listener.local_addr()?;
         let stopping = Arc::new(AtomicBool::new(false));
-        let (answer, open, stop) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)), stopping.clone());
+        let (handler, open_requests, stop) =
+            (Arc::new(handler), Arc::new(AtomicUsize::new(0)), stopping.clone());
         spawn_small_stack("http", move || loop {
             let accepted = listener.accept();
             if stop.load(Ordering::SeqCst) {
@@ -126,23 +128,23 @@
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            if open.fetch_add(1, Ordering::SeqCst) >= MAX_OPEN {
-                open.fetch_sub(1, Ordering::SeqCst);
+            if open_requests.fetch_add(1, Ordering::SeqCst) >= MAX_OPEN_REQUESTS {
+                open_requests.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            let (answer, done) = (answer.clone(), open.clone());
+            let (handler, counter) = (handler.clone(), open_requests.clone());
             let spawned = spawn_small_stack("http-request", move || {
-                let _ = serve(stream, &*answer);
-                done.fetch_sub(1, Ordering::SeqCst);
+                let _ = serve(stream, &*handler);
+                counter.fetch_sub(1, Ordering::SeqCst);
             });
             if spawned.is_err() {
-                open.fetch_sub(1, Ordering::SeqCst);
+                open_requests.fetch_sub(1, Ordering::SeqCst);
             }
         })?;
         Ok(Server { address, stopping })
     }
 
-    /// Where it listens.
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -155,35 +157,37 @@
     }
 }
 
-fn serve(mut stream: TcpStream, answer: &dyn Fn(Request<'_>) -> Response) -> io::Result<()> {
+fn serve(mut stream: TcpStream, handler: &dyn Fn(Request<'_>) -> Response) -> io::Result<()> {
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     stream.set_write_timeout(Some(Duration::from_secs(5)))?;
     let mut head = Vec::new();
-    let answer = loop {
-        let mut piece = [0; 1024];
-        let got = stream.read(&mut piece)?;
-        if got == 0 {
+    let response = loop {
+        let mut chunk = [0; 1024];
+        let read = stream.read(&mut chunk)?;
+        if read == 0 {
             return Ok(());
         }
-        head.extend_from_slice(&piece[..got]);
+        head.extend_from_slice(&chunk[..read]);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(&head) {
             Ok(httparse::Status::Complete(_)) => {
-                let marked = request.headers.iter().any(|h| h.name.eq_ignore_ascii_case(CTL_HEADER));
+                let has_ctl_header = request.headers.iter().any(|h| h.name.eq_ignore_ascii_case(CTL_HEADER));
                 break match (request.method, request.path) {
-                    (Some("GET"), Some(path)) => answer(Request { method: Method::Get, path }),
-                    (Some("POST"), Some(path)) if marked => answer(Request { method: Method::Post, path }),
+                    (Some("GET"), Some(path)) => handler(Request { method: Method::Get, path }),
+                    (Some("POST"), Some(path)) if has_ctl_header => {
+                        handler(Request { method: Method::Post, path })
+                    }
                     (Some("POST"), Some(_)) => Response::error(403, "a POST needs the header X-Pearfork-Ctl"),
-                    _ => Response::error(405, "only GET and POST are answered here"),
+                    _ => Response::error(405, "only GET and POST are supported here"),
                 };
             }
             Ok(httparse::Status::Partial) if head.len() < MAX_HEAD => {}
-            Ok(httparse::Status::Partial) => break Response::error(431, "head too long"),
+            Ok(httparse::Status::Partial) => break Response::error(431, "request head too long"),
             Err(e) => break Response::error(400, &e.to_string()),
         }
     };
-    let words = match answer.status {
+    let reason = match response.status {
         200 => "OK",
         202 => "Accepted",
         403 => "Forbidden",
@@ -194,88 +198,94 @@
     };
     write!(
         stream,
-        "HTTP/1.1 {} {words}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
-        answer.status,
-        answer.content_type,
-        answer.body.len()
+        "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+        response.status,
+        response.content_type,
+        response.body.len()
     )?;
-    stream.write_all(&answer.body)
+    stream.write_all(&response.body)
 }
 
-/// GETs a path; status and body.
+/// Sends a GET request; returns the response's status and body.
 ///
 /// # Errors
-/// No whole answer within `within`, from the first packet to the last byte.
-pub fn get(address: SocketAddr, path: &str, within: Duration) -> Result<StatusAndBody, RequestError> {
-    get_cancellable(address, path, within, |_| true)
+/// No complete response came within `timeout`, which covers everything from the connect to the last byte.
+pub fn get(address: SocketAddr, path: &str, timeout: Duration) -> Result<StatusAndBody, RequestError> {
+    get_cancellable(address, path, timeout, |_| true)
 }
 
-/// The same; `goes_on` is given the connection once it is up, may keep a handle of it to end the call from elsewhere,
-/// and says whether the call goes on.
+/// Like [`get`], but the request can be cancelled from another thread.
+///
+/// `on_connected` is called once the connection is established. It may keep a handle of the stream to shut it
+/// down later, and returns whether the request should be sent at all.
 ///
 /// # Errors
-/// As [`get`].
+/// As [`get`], or the request was cancelled.
 pub fn get_cancellable(
     address: SocketAddr,
     path: &str,
-    within: Duration,
-    goes_on: impl FnOnce(&TcpStream) -> bool,
+    timeout: Duration,
+    on_connected: impl FnOnce(&TcpStream) -> bool,
 ) -> Result<StatusAndBody, RequestError> {
-    call(address, Request { method: Method::Get, path }, within, goes_on)
+    send(address, Request { method: Method::Get, path }, timeout, on_connected)
 }
 
-/// POSTs to a path, without a body; status and body of the answer.
+/// Sends a POST request without a body; returns the response's status and body.
 ///
 /// # Errors
 /// As [`get`].
-pub fn post(address: SocketAddr, path: &str, within: Duration) -> Result<StatusAndBody, RequestError> {
-    call(address, Request { method: Method::Post, path }, within, |_| true)
+pub fn post(address: SocketAddr, path: &str, timeout: Duration) -> Result<StatusAndBody, RequestError> {
+    send(address, Request { method: Method::Post, path }, timeout, |_| true)
 }
 
-/// Danger: a time-out for each read lets a body that trickles hold its caller for ever; the time is the whole call's.
-fn call(
+/// Sends a request and reads the response.
+///
+/// `timeout` is for the whole exchange. With a timeout for each read, a server that sends its body byte by
+/// byte could block the caller forever.
+fn send(
     address: SocketAddr,
-    call: Request<'_>,
-    within: Duration,
-    goes_on: impl FnOnce(&TcpStream) -> bool,
+    request: Request<'_>,
+    timeout: Duration,
+    on_connected: impl FnOnce(&TcpStream) -> bool,
 ) -> Result<StatusAndBody, RequestError> {
-    let socket = |source| RequestError::Socket { address, source };
-    let end = Instant::now() + within;
-    let left = || match end.saturating_duration_since(Instant::now()) {
-        Duration::ZERO => Err(socket(io::ErrorKind::TimedOut.into())),
-        left => Ok(left),
+    let socket_error = |source| RequestError::Socket { address, source };
+    let deadline = Instant::now() + timeout;
+    let remaining = || match deadline.saturating_duration_since(Instant::now()) {
+        Duration::ZERO => Err(socket_error(io::ErrorKind::TimedOut.into())),
+        remaining => Ok(remaining),
     };
-    let mut stream = TcpStream::connect_timeout(&address, within).map_err(socket)?;
-    if !goes_on(&stream) {
-        return Err(socket(io::ErrorKind::Interrupted.into()));
+    let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(socket_error)?;
+    if !on_connected(&stream) {
+        return Err(socket_error(io::ErrorKind::Interrupted.into()));
     }
-    stream.set_write_timeout(Some(left()?)).map_err(socket)?;
-    let (verb, more) = match call.method {
+    stream.set_write_timeout(Some(remaining()?)).map_err(socket_error)?;
+    let (method, extra_headers) = match request.method {
         Method::Get => ("GET", String::new()),
         Method::Post => ("POST", format!("{CTL_HEADER}: 1\r\nContent-Length: 0\r\n")),
     };
-    let path = call.path;
-    let request = format!("{verb} {path} HTTP/1.1\r\nHost: {address}\r\n{more}Connection: close\r\n\r\n");
-    stream.write_all(request.as_bytes()).map_err(socket)?;
-    let mut reader = ResponseParser::default();
-    let mut piece = vec![0; PIECE];
-    let read = loop {
-        stream.set_read_timeout(Some(left()?)).map_err(socket)?;
-        match stream.read(&mut piece) {
-            Ok(0) => break reader.finish(),
-            Ok(n) => match reader.feed(&piece[..n]) {
+    let path = request.path;
+    let head =
+        format!("{method} {path} HTTP/1.1\r\nHost: {address}\r\n{extra_headers}Connection: close\r\n\r\n");
+    stream.write_all(head.as_bytes()).map_err(socket_error)?;
+    let mut parser = ResponseParser::default();
+    let mut chunk = vec![0; READ_BUFFER];
+    let result = loop {
+        stream.set_read_timeout(Some(remaining()?)).map_err(socket_error)?;
+        match stream.read(&mut chunk) {
+            Ok(0) => break parser.finish(),
+            Ok(n) => match parser.feed(&chunk[..n]) {
                 Ok(None) => {}
-                Ok(Some(whole)) => break Ok(whole),
-                Err(fault) => break Err(fault),
+                Ok(Some(response)) => break Ok(response),
+                Err(error) => break Err(error),
             },
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(socket(e)),
+            Err(e) => return Err(socket_error(e)),
         }
     };
-    read.map_err(|what| RequestError::InvalidResponse { address, what })
+    result.map_err(|error| RequestError::InvalidResponse { address, error })
 }
 
-/// The value of a key in a path's query, as it stands.
+/// The value of a parameter in the query string of a path, without percent-decoding.
 pub fn query_parameter<'a>(path: &'a str, key: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     query.split('&').find_map(|pair| pair.split_once('=').filter(|(k, _)| *k == key).map(|(_, v)| v))
--- a/crates/net/src/http/response.rs
+++ b/crates/net/src/http/response.rs
@@ -1,65 +1,70 @@
-//! An HTTP/1.1 response as it comes, piece by piece. No I/O.
+//! An incremental parser of HTTP/1.1 responses, without I/O.
 //!
-//! Danger: a body may have no length, and then only the orderly end of its connection ends it. A connection that is reset,
-//! or a chunk that is cut off, ends nothing: what came till then may be half a list that reads like a whole one.
+//! A body without a stated length ends only when the server closes the connection in order. A reset
+//! connection or a truncated chunk does not end a response: the bytes received until then may be half of a
+//! list that parses like a complete one.
 
-/// Most bytes of a response's head.
+/// Maximum size of a response head in bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// Most bytes of a body that a client takes.
+/// Maximum size of a body in bytes.
 const MAX_BODY: usize = 16 << 20;
-/// Most bytes of the line before a chunk, and of the trailers behind the last.
+/// Maximum size in bytes of a chunk-size line, and of each line of the trailers.
 const MAX_LINE: usize = 4 * 1024;
-/// Heads of 1xx responses that may come before the one that counts.
+/// Maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM: usize = 8;
 
-/// Status and body.
+/// A response's status code and body.
 pub type StatusAndBody = (u16, Vec<u8>);
 
-/// Why a response is of no use.
+/// Why a response could not be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
     /// The connection ended within the head.
-    #[error("it ends within its head")]
+    #[error("connection closed within the response head")]
     TruncatedHead,
-    /// The connection ended within a body that states its length, by a figure or by chunks.
-    #[error("it ends before its stated length")]
+    /// The connection ended within a body with a stated length or with chunks.
+    #[error("connection closed before the end of the body")]
     TruncatedBody,
-    /// The head can't be read.
-    #[error("its head makes no sense: {0}")]
+    /// The head cannot be parsed.
+    #[error("malformed response head: {0}")]
     Head(String),
-    /// A header of its length can't be read, or two of them differ.
-    #[error("its {0} makes no sense")]
+    /// A chunk or a header that gives the length cannot be parsed, or two such headers differ.
+    #[error("invalid {0}")]
     Length(&'static str),
-    /// More than is taken.
-    #[error("it is too long")]
+    /// The response exceeds one of the size limits.
+    #[error("response too long")]
     TooLong,
 }
 
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(usize),
-    /// In chunks.
+    /// The body is sent in chunks.
     Chunked,
-    /// Up to the orderly end of the connection.
-    ToEnd,
+    /// The body ends when the connection is closed in order.
+    UntilClose,
 }
 
+/// What the parser expects next.
 #[derive(Debug)]
 enum Stage {
+    /// A head, after this many interim responses.
     Head { interim: usize },
+    /// The rest of the body.
     Body { status: u16, framing: Framing },
 }
 
-/// Takes bytes, gives the response once it is whole.
+/// Parses a response from the received bytes, in whatever pieces they come.
 #[derive(Debug)]
 pub struct ResponseParser {
     buffer: Vec<u8>,
     body: Vec<u8>,
-    /// Bytes still to come of the chunk that is read, its line end included; `None` between chunks.
-    chunk: Option<usize>,
-    /// The last chunk came; its trailers end with an empty line.
-    trailers: bool,
+    /// Bytes missing of the current chunk, its CRLF included; `None` between chunks.
+    chunk_remaining: Option<usize>,
+    /// The last chunk has been read; the trailers that follow end with an empty line.
+    in_trailers: bool,
     stage: Stage,
 }
 
@@ -68,46 +73,48 @@
         ResponseParser {
             buffer: Vec::new(),
             body: Vec::new(),
-            chunk: None,
-            trailers: false,
+            chunk_remaining: None,
+            in_trailers: false,
             stage: Stage::Head { interim: 0 },
         }
     }
 }
 
 impl ResponseParser {
-    /// Bytes came: the response, where it is whole by its own word.
+    /// Parses received bytes; returns the response once its stated length or its last chunk has been read.
     ///
     /// # Errors
-    /// It is of no use, whatever comes after.
+    /// The response is invalid, whatever follows.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<StatusAndBody>, ResponseError> {
         self.buffer.extend_from_slice(bytes);
         loop {
             match self.stage {
-                Stage::Head { interim } => match self.head(interim)? {
+                Stage::Head { interim } => match self.parse_head(interim)? {
                     Some(next) => self.stage = next,
                     None => return Ok(None),
                 },
                 Stage::Body { status, framing } => {
-                    return Ok(self.body(framing)?.then(|| (status, std::mem::take(&mut self.body))));
+                    return Ok(self.read_body(framing)?.then(|| (status, std::mem::take(&mut self.body))));
                 }
             }
         }
     }
 
-    /// The connection ended in order: the response, where that is its end.
+    /// Called when the connection was closed in order; returns the response if that ends its body.
     ///
     /// # Errors
-    /// It was cut off.
+    /// The response is truncated.
     pub fn finish(&mut self) -> Result<StatusAndBody, ResponseError> {
         match self.stage {
             Stage::Head { .. } => Err(ResponseError::TruncatedHead),
-            Stage::Body { status, framing: Framing::ToEnd } => Ok((status, std::mem::take(&mut self.body))),
+            Stage::Body { status, framing: Framing::UntilClose } => {
+                Ok((status, std::mem::take(&mut self.body)))
+            }
             Stage::Body { .. } => Err(ResponseError::TruncatedBody),
         }
     }
 
-    fn head(&mut self, interim: usize) -> Result<Option<Stage>, ResponseError> {
+    fn parse_head(&mut self, interim: usize) -> Result<Option<Stage>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; 64];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response.parse(&self.buffer).map_err(|e| ResponseError::Head(e.to_string()))?;
@@ -128,48 +135,48 @@
         Ok(Some(Stage::Body { status, framing }))
     }
 
-    /// Whether the body is whole.
-    fn body(&mut self, framing: Framing) -> Result<bool, ResponseError> {
+    /// Moves received bytes to the body; returns whether it is complete.
+    fn read_body(&mut self, framing: Framing) -> Result<bool, ResponseError> {
         match framing {
             Framing::Length(length) => {
-                let more = (length - self.body.len()).min(self.buffer.len());
-                self.body.extend(self.buffer.drain(..more));
+                let available = (length - self.body.len()).min(self.buffer.len());
+                self.body.extend(self.buffer.drain(..available));
                 Ok(self.body.len() == length)
             }
-            Framing::ToEnd => {
+            Framing::UntilClose => {
                 self.body.append(&mut self.buffer);
                 if self.body.len() > MAX_BODY {
                     return Err(ResponseError::TooLong);
                 }
                 Ok(false)
             }
-            Framing::Chunked => self.chunks(),
+            Framing::Chunked => self.read_chunks(),
         }
     }
 
-    fn chunks(&mut self) -> Result<bool, ResponseError> {
+    fn read_chunks(&mut self) -> Result<bool, ResponseError> {
         loop {
-            if let Some(left) = self.chunk {
-                // The chunk's own line end is not of the body.
-                let data = left.saturating_sub(2).min(self.buffer.len());
+            if let Some(remaining) = self.chunk_remaining {
+                // The CRLF after the chunk is not part of the body.
+                let data = remaining.saturating_sub(2).min(self.buffer.len());
                 self.body.extend(self.buffer.drain(..data));
-                let left = left - data;
-                if left > 2 || self.buffer.len() < left {
-                    self.chunk = Some(left);
+                let remaining = remaining - data;
+                if remaining > 2 || self.buffer.len() < remaining {
+                    self.chunk_remaining = Some(remaining);
                     return Ok(false);
                 }
                 if self.buffer[..2] != *b"\r\n" {
                     return Err(ResponseError::Length("chunk"));
                 }
                 self.buffer.drain(..2);
-                self.chunk = None;
+                self.chunk_remaining = None;
             }
             let Some(end) = self.buffer.windows(2).position(|w| w == b"\r\n") else {
                 return if self.buffer.len() > MAX_LINE { Err(ResponseError::TooLong) } else { Ok(false) };
             };
             let line: Vec<u8> = self.buffer.drain(..end + 2).collect();
             let line = &line[..end];
-            if self.trailers {
+            if self.in_trailers {
                 if line.is_empty() {
                     return Ok(true);
                 }
@@ -177,48 +184,50 @@
             }
             let digits = line.split(|b| *b == b';').next().unwrap_or_default();
             let digits = std::str::from_utf8(digits).map(str::trim).unwrap_or_default();
-            let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
-            let size = usize::from_str_radix(digits, 16).ok().filter(|_| plain);
+            let is_hex = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
+            let size = usize::from_str_radix(digits, 16).ok().filter(|_| is_hex);
             let size = size.ok_or(ResponseError::Length("chunk"))?;
             if size > MAX_BODY || self.body.len() + size > MAX_BODY {
                 return Err(ResponseError::TooLong);
             }
             match size {
-                0 => self.trailers = true,
-                n => self.chunk = Some(n + 2),
+                0 => self.in_trailers = true,
+                n => self.chunk_remaining = Some(n + 2),
             }
         }
     }
 }
 
+/// Determines how the body ends (RFC 9112, section 6.3).
 fn framing(status: u16, headers: &[httparse::Header<'_>]) -> Result<Framing, ResponseError> {
-    let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
+    let headers_named =
+        |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
     if (100..200).contains(&status) || status == 204 || status == 304 {
         return Ok(Framing::Length(0));
     }
-    let mut coded = named("transfer-encoding").peekable();
-    if coded.peek().is_some() {
-        let text = coded.filter_map(|h| std::str::from_utf8(h.value).ok()).collect::<Vec<_>>().join(",");
+    let mut encodings = headers_named("transfer-encoding").peekable();
+    if encodings.peek().is_some() {
+        let text = encodings.filter_map(|h| std::str::from_utf8(h.value).ok()).collect::<Vec<_>>().join(",");
         return if text.trim().eq_ignore_ascii_case("chunked") {
             Ok(Framing::Chunked)
         } else {
             Err(ResponseError::Length("transfer-encoding"))
         };
     }
-    let mut told = None;
-    for header in named("content-length") {
+    let mut content_length = None;
+    for header in headers_named("content-length") {
         let text = std::str::from_utf8(header.value).map(str::trim).unwrap_or_default();
-        let plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-        let length = text.parse::<usize>().ok().filter(|_| plain);
+        let is_decimal = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
+        let length = text.parse::<usize>().ok().filter(|_| is_decimal);
         let length = length.ok_or(ResponseError::Length("content-length"))?;
-        if told.is_some_and(|t| t != length) {
+        if content_length.is_some_and(|l| l != length) {
             return Err(ResponseError::Length("content-length"));
         }
-        told = Some(length);
+        content_length = Some(length);
     }
-    match told {
+    match content_length {
         Some(length) if length > MAX_BODY => Err(ResponseError::TooLong),
         Some(length) => Ok(Framing::Length(length)),
-        None => Ok(Framing::ToEnd),
+        None => Ok(Framing::UntilClose),
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! The thin shell between [`pearfork_iscsi`] sessions and `std::net` sockets.
+//! Sockets: [`pearfork_iscsi`] sessions over `std::net`, a small HTTP server and client, and an epoll poller.
 //!
-//! A session has two threads with small stacks: one reads and hands over what came, one writes what waits. No
-//! lock is held over a read or a write, so that a peer that stands still blocks nobody else; what waits for it
-//! is bounded by its command window.
+//! An iSCSI session has two threads with small stacks: one reads and delivers received PDUs, the other writes
+//! queued output. No lock is held during a read or a write, so a peer that stops reading blocks no other
+//! session; the output queued for it is bounded by its command window.
 
 mod clock;
 mod connection;
--- a/crates/net/src/poll.rs
+++ b/crates/net/src/poll.rs
@@ -1,7 +1,7 @@
-//! Waiting for many sockets in one thread.
+//! An epoll poller, with which one thread waits for many sockets.
 //!
-//! Danger: a thread for each connection is cheap in one host, and three hundred hosts on one machine use up the
-//! machine's threads; a host that gets none can neither take a connection nor make one.
+//! A thread for each connection is cheap in one host, but three hundred hosts on one machine would exhaust
+//! its threads, and a host that cannot start a thread can neither accept nor open a connection.
 
 use rustix::event::epoll;
 use rustix::event::{eventfd, EventfdFlags, Timespec};
@@ -12,26 +12,27 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::{Duration, Instant};
 
-/// The token under which [`Poller::wake`] comes; sockets have others.
-const WOKEN: u64 = u64::MAX;
-/// Sockets that one wait tells of at the most; where it tells of so many, others may have something too.
+/// The token of the eventfd behind [`Poller::wake`]; sockets must use others.
+const WAKE_TOKEN: u64 = u64::MAX;
+/// Most sockets that one wait reports; if it reports as many, others may be ready too.
 pub const MAX_EVENTS: usize = 64;
 
-/// What a socket is watched for; that it broke, or that its other end sends no more, is told in any case.
+/// The events that a socket is watched for, besides errors and hang-ups, which epoll always reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interest {
-    /// That it broke or ended.
+    /// Only that the peer closed or the connection failed.
     Hangup,
-    /// Something to read, or its end.
+    /// Data to read, or the peer has closed its sending side.
     Readable,
-    /// Room to write; a connection that came up has it.
+    /// Room to write; also reported when a pending connect completes.
     Writable,
 }
 
 impl Interest {
-    fn flags(self) -> epoll::EventFlags {
+    fn epoll_flags(self) -> epoll::EventFlags {
         match self {
-            // Danger: without RDHUP an orderly end is behind what nobody reads, and its client seems to wait.
+            // Without RDHUP, unread data hides an orderly close, and a client that left looks as if it still
+            // waited.
             Interest::Hangup => epoll::EventFlags::RDHUP,
             Interest::Readable => epoll::EventFlags::IN | epoll::EventFlags::RDHUP,
             Interest::Writable => epoll::EventFlags::OUT,
@@ -39,83 +40,92 @@
     }
 }
 
-/// A socket that has what it was watched for.
+/// An event of a watched socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readiness {
-    /// The token it was added with.
+    /// The token that the socket was added with.
     pub token: u64,
-    /// Both directions are over, or it has an error.
+    /// Both directions are closed, or the socket has an error.
     pub hung_up: bool,
-    /// The other end sends no more, whether or not what it sent has been read.
+    /// The peer has closed its sending side, whether or not all it sent has been read.
     pub peer_closed: bool,
 }
 
-/// A set of watched sockets. What is true of a socket is told at each wait for as long as it is true.
+/// A set of watched sockets. Events are level-triggered: each wait reports a condition for as long as it
+/// holds.
 #[derive(Debug)]
 pub struct Poller {
-    set: OwnedFd,
+    epoll_fd: OwnedFd,
     waker: OwnedFd,
 }
 
 impl Poller {
-    /// Watches nothing yet; takes two descriptors.
+    /// Creates an empty set; it uses two file descriptors.
     ///
     /// # Errors
-    /// No descriptor is left.
+    /// No file descriptor is available.
     pub fn new() -> io::Result<Poller> {
-        let set = epoll::create(epoll::CreateFlags::CLOEXEC)?;
+        let epoll_fd = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let waker = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
-        epoll::add(&set, &waker, epoll::EventData::new_u64(WOKEN), Interest::Readable.flags())?;
-        Ok(Poller { set, waker })
+        epoll::add(
+            &epoll_fd,
+            &waker,
+            epoll::EventData::new_u64(WAKE_TOKEN),
+            Interest::Readable.epoll_flags(),
+        )?;
+        Ok(Poller { epoll_fd, waker })
     }
 
-    /// Watches a socket.
+    /// Starts to watch a socket.
     ///
     /// # Errors
-    /// What the system says: it is watched already, or no room is left.
-    pub fn add(&self, socket: impl AsFd, token: u64, want: Interest) -> io::Result<()> {
-        Ok(epoll::add(&self.set, socket, epoll::EventData::new_u64(token), want.flags())?)
+    /// The error of `epoll_ctl`: the socket is watched already, or a system limit is reached.
+    pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
+        Ok(epoll::add(&self.epoll_fd, socket, epoll::EventData::new_u64(token), interest.epoll_flags())?)
     }
 
-    /// Watches it for something else.
+    /// Changes what a socket is watched for.
     ///
     /// # Errors
-    /// It is not watched.
-    pub fn modify(&self, socket: impl AsFd, token: u64, want: Interest) -> io::Result<()> {
-        Ok(epoll::modify(&self.set, socket, epoll::EventData::new_u64(token), want.flags())?)
+    /// The socket is not watched.
+    pub fn modify(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
+        Ok(epoll::modify(&self.epoll_fd, socket, epoll::EventData::new_u64(token), interest.epoll_flags())?)
     }
 
-    /// Watches it no more. Danger: a socket that others still hold open stays watched until this is called.
+    /// Stops watching a socket. Closing it is not enough: while another descriptor refers to the same socket,
+    /// it stays watched until this is called.
     pub fn remove(&self, socket: impl AsFd) {
-        let _ = epoll::delete(&self.set, socket);
+        let _ = epoll::delete(&self.epoll_fd, socket);
     }
 
-    /// Ends a wait, or the next one.
+    /// Ends the current wait, or the next one if none is under way.
     pub fn wake(&self) {
         let _ = retry_on_intr(|| rustix::io::write(&self.waker, &1u64.to_ne_bytes()));
     }
 
-    /// Waits for one socket at least, a wake or a moment.
+    /// Waits until a socket has an event, [`Poller::wake`] is called, or the deadline passes.
     ///
     /// # Errors
-    /// What the system says; nothing can be waited for any more.
-    pub fn wait(&self, ready: &mut Vec<Readiness>, until: Option<Instant>) -> io::Result<()> {
+    /// The error of `epoll_wait`; the poller cannot be used any more.
+    pub fn wait(&self, ready: &mut Vec<Readiness>, deadline: Option<Instant>) -> io::Result<()> {
         ready.clear();
         let mut events =
             [epoll::Event { flags: epoll::EventFlags::empty(), data: epoll::EventData::new_u64(0) };
                 MAX_EVENTS];
-        // In whole milliseconds, rounded up: a wait that ended just before its moment would be followed by another.
-        let left = until.map(|at| at.saturating_duration_since(Instant::now()));
-        let left = left.map(|d| Duration::from_millis(d.as_nanos().div_ceil(1_000_000) as u64));
-        let timeout = left.map(|d| Timespec { tv_sec: d.as_secs() as i64, tv_nsec: d.subsec_nanos().into() });
-        let n = match epoll::wait(&self.set, &mut events[..], timeout.as_ref()) {
+        // In whole milliseconds, rounded up: a wait that ended just before its deadline would be followed by
+        // another.
+        let remaining = deadline.map(|at| at.saturating_duration_since(Instant::now()));
+        let remaining = remaining.map(|d| Duration::from_millis(d.as_nanos().div_ceil(1_000_000) as u64));
+        let timeout =
+            remaining.map(|d| Timespec { tv_sec: d.as_secs() as i64, tv_nsec: d.subsec_nanos().into() });
+        let n = match epoll::wait(&self.epoll_fd, &mut events[..], timeout.as_ref()) {
             Ok(n) => n,
             Err(Errno::INTR | Errno::NOMEM) => 0,
             Err(e) => return Err(e.into()),
         };
         for event in &events[..n] {
             let (token, flags) = (event.data.u64(), event.flags);
-            if token == WOKEN {
+            if token == WAKE_TOKEN {
                 let _ = rustix::io::read(&self.waker, &mut [0u8; 8]);
             } else {
                 let hung_up = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP);
@@ -127,18 +137,20 @@
     }
 }
 
-/// Begins to connect, without waiting. Watched for [`Interest::Writable`], the stream is told once it is up or has failed, and
-/// `take_error` says which.
+/// Starts a non-blocking connect.
+///
+/// A poller that watches the stream for [`Interest::Writable`] reports when the connect has succeeded or
+/// failed; `take_error` tells which.
 ///
 /// # Errors
-/// No descriptor is left, or the address is refused at once.
+/// No file descriptor is available, or the system rejects the address at once.
 pub fn start_connect(address: &SocketAddr) -> io::Result<TcpStream> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
     loop {
         return match rustix::net::connect(&socket, address) {
-            // Interrupted, it goes on by itself; asked again, the system says so.
+            // An interrupted connect continues in the background; the repeated call reports its state.
             Err(Errno::INTR) => continue,
             Ok(()) | Err(Errno::INPROGRESS | Errno::ALREADY | Errno::ISCONN) => Ok(TcpStream::from(socket)),
             Err(e) => Err(e.into()),
@@ -152,61 +164,61 @@
     use std::io::Write;
     use std::net::TcpListener;
 
-    fn pair() -> (TcpStream, TcpStream) {
+    fn connected_pair() -> (TcpStream, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let here = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        (here, listener.accept().unwrap().0)
+        let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        (local, listener.accept().unwrap().0)
     }
 
-    fn tokens(poller: &Poller, within: Duration) -> Vec<u64> {
+    fn ready_tokens(poller: &Poller, timeout: Duration) -> Vec<u64> {
         let mut ready = Vec::new();
-        poller.wait(&mut ready, Some(Instant::now() + within)).unwrap();
+        poller.wait(&mut ready, Some(Instant::now() + timeout)).unwrap();
         ready.iter().map(|r| r.token).collect()
     }
 
     #[test]
-    fn a_socket_is_told_while_it_has_what_it_is_watched_for_and_not_after_its_removal() {
+    fn an_event_is_reported_while_it_holds_and_never_after_the_socket_was_removed() {
         let poller = Poller::new().unwrap();
-        let (here, mut there) = pair();
-        poller.add(&here, 7, Interest::Readable).unwrap();
-        assert!(tokens(&poller, Duration::ZERO).is_empty());
-        there.write_all(b"x").unwrap();
-        let long = Duration::from_secs(10);
-        assert_eq!(tokens(&poller, long), [7]);
-        assert_eq!(tokens(&poller, long), [7], "still there");
-        poller.modify(&here, 7, Interest::Hangup).unwrap();
-        assert!(tokens(&poller, Duration::ZERO).is_empty());
-        poller.modify(&here, 7, Interest::Writable).unwrap();
-        assert_eq!(tokens(&poller, long), [7]);
-        poller.remove(&here);
-        assert!(tokens(&poller, Duration::ZERO).is_empty());
+        let (local, mut remote) = connected_pair();
+        poller.add(&local, 7, Interest::Readable).unwrap();
+        assert!(ready_tokens(&poller, Duration::ZERO).is_empty());
+        remote.write_all(b"x").unwrap();
+        let timeout = Duration::from_secs(10);
+        assert_eq!(ready_tokens(&poller, timeout), [7]);
+        assert_eq!(ready_tokens(&poller, timeout), [7], "level-triggered: reported again");
+        poller.modify(&local, 7, Interest::Hangup).unwrap();
+        assert!(ready_tokens(&poller, Duration::ZERO).is_empty());
+        poller.modify(&local, 7, Interest::Writable).unwrap();
+        assert_eq!(ready_tokens(&poller, timeout), [7]);
+        poller.remove(&local);
+        assert!(ready_tokens(&poller, Duration::ZERO).is_empty());
     }
 
     #[test]
-    fn a_connection_comes_up_or_fails_without_being_waited_for() {
+    fn a_non_blocking_connect_reports_success_or_failure_through_the_poller() {
         let poller = Poller::new().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let up = start_connect(&address).unwrap();
-        poller.add(&up, 1, Interest::Writable).unwrap();
-        assert_eq!(tokens(&poller, Duration::from_secs(10)), [1]);
-        assert!(up.take_error().unwrap().is_none());
-        poller.remove(&up);
+        let connected = start_connect(&address).unwrap();
+        poller.add(&connected, 1, Interest::Writable).unwrap();
+        assert_eq!(ready_tokens(&poller, Duration::from_secs(10)), [1]);
+        assert!(connected.take_error().unwrap().is_none());
+        poller.remove(&connected);
         drop(listener);
         let Ok(refused) = start_connect(&address) else { return };
         poller.add(&refused, 2, Interest::Writable).unwrap();
-        assert_eq!(tokens(&poller, Duration::from_secs(10)), [2]);
+        assert_eq!(ready_tokens(&poller, Duration::from_secs(10)), [2]);
         assert!(refused.take_error().unwrap().is_some());
     }
 
     #[test]
-    fn a_wake_ends_one_wait_and_a_moment_the_next() {
+    fn repeated_wakes_end_a_single_wait_and_the_deadline_ends_the_next() {
         let poller = Poller::new().unwrap();
         poller.wake();
         poller.wake();
-        let began = Instant::now();
-        assert!(tokens(&poller, Duration::from_secs(60)).is_empty());
-        assert!(began.elapsed() < Duration::from_secs(30));
-        assert!(tokens(&poller, Duration::from_millis(5)).is_empty());
+        let started = Instant::now();
+        assert!(ready_tokens(&poller, Duration::from_secs(60)).is_empty());
+        assert!(started.elapsed() < Duration::from_secs(30));
+        assert!(ready_tokens(&poller, Duration::from_millis(5)).is_empty());
     }
 }
--- a/crates/net/src/portal.rs
+++ b/crates/net/src/portal.rs
@@ -1,6 +1,6 @@
-//! The accepting side: a listener, and for every connection the target's end of a session.
+//! An iSCSI portal: a listener, and the target's end of a session for each connection.
 
-use crate::stream::{lock, read_once, spawn_small_stack, write_runs, Direction, StreamTap};
+use crate::stream::{lock, read_once, spawn_small_stack, write_chunks, Direction, StreamTap};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pearfork_iscsi::{
     AccessControl, Limits, LoginStatus, Response, ScsiCommand, Target, TargetEvent, TaskTag, TmfFunction,
@@ -11,95 +11,100 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
-/// Names a connection of this process; never used again.
+/// Identifies a session within this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SessionId(pub u64);
 
-/// What stands behind a portal. Calls come from the session's reading thread, in the order of the wire.
+/// Handles the sessions of a portal. Called on the session's reader thread, in the order of the received
+/// PDUs, unless a method says otherwise.
 pub trait SessionHandler: Send + Sync + 'static {
-    /// The full feature phase began.
+    /// The session reached the full feature phase; `target` is `None` in a discovery session.
     ///
     /// # Errors
-    /// The session is closed with the status.
+    /// The session is closed, with the status as the reason.
     fn logged_in(
         &self,
         session: &Arc<Session>,
         initiator: &str,
         target: Option<&str>,
     ) -> Result<(), LoginStatus>;
-    /// A command came, its data complete; it is ended by [`Session::respond`].
+    /// A command was received with all its data. [`Session::respond`] must be called for it.
     fn command(&self, session: &Arc<Session>, command: ScsiCommand);
-    /// The answer to a command is no longer wanted.
+    /// A command was aborted; its response would be dropped.
     fn aborted(&self, session: &Arc<Session>, tag: TaskTag);
-    /// Task management that may concern other sessions.
+    /// A task management function was carried out in this session and may affect tasks of other sessions.
     fn task_management(&self, _session: &Arc<Session>, _function: TmfFunction, _lun: u64) {}
-    /// The connection is gone; no answer is wanted any more. Called once.
-    fn closed(&self, session: &Arc<Session>, why: &str);
+    /// The session is over; responses would be dropped. Called once, on the thread that ended the session.
+    fn closed(&self, session: &Arc<Session>, reason: &str);
 }
 
-/// Bounds and the way in.
+/// Settings of a portal.
 #[derive(Clone)]
 pub struct PortalConfig {
-    /// Who may log in where.
+    /// Decides which initiator may log in to which target.
     pub access: Arc<dyn AccessControl>,
-    /// Bounds of each session.
+    /// Limits of each session.
     pub limits: Limits,
-    /// Most connections at once; further ones are closed at once.
+    /// Maximum number of connections; further ones are closed as soon as they are accepted.
     pub max_sessions: usize,
-    /// Bytes waiting for a client beyond which nothing more is read from it.
+    /// Nothing more is read from a client while more than this many bytes of output are queued for it.
     pub max_unsent_bytes: usize,
-    /// Handle of the first session. A host that starts again begins elsewhere, so that no handle of its last life,
-    /// and no name made of one, comes again soon.
+    /// Where the assignment of TSIHs (target session identifying handles) starts. A host that restarts should
+    /// start from another value, so that neither a TSIH from before the restart nor an identifier derived
+    /// from it is reused soon.
     pub first_tsih: u16,
-    /// Who notes the bytes; the stream's number is the session's.
+    /// Observes the bytes of all sessions; the number of a stream is its [`SessionId`].
     pub tap: Option<Arc<dyn crate::stream::Tap>>,
 }
 
-/// One connection, as long as it lasts.
+/// The target's end of a session with a single connection.
 pub struct Session {
     id: SessionId,
     tsih: u16,
     peer: SocketAddr,
     target: Mutex<Target>,
-    taken: Condvar,
+    /// Notified when output was taken for writing, and when the session is closed.
+    output_taken: Condvar,
     wake: Sender<()>,
     stream: TcpStream,
-    over: AtomicBool,
+    /// The handler has been notified that the session is over.
+    ended: AtomicBool,
+    /// The connection was closed from this side.
     closed: AtomicBool,
-    /// Bytes were taken from the target's output and are not yet written. Danger: without it a connection would be
-    /// closed between the two, and a client would never learn why its login failed.
+    /// Output was taken from the target and is not written yet. Without this flag, the connection could be
+    /// closed in between, and a client would not learn why its login failed.
     writing: AtomicBool,
 }
 
 impl Session {
-    /// Names it in this process.
+    /// The identifier of the session within this process.
     pub fn id(&self) -> SessionId {
         self.id
     }
 
-    /// The session's handle on the wire.
+    /// The TSIH (target session identifying handle) on the wire.
     pub fn tsih(&self) -> u16 {
         self.tsih
     }
 
-    /// Where it comes from.
+    /// The client's address.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Ends a command; nothing happens where it was aborted. Never blocks on the client.
+    /// Sends the response to a command; does nothing if the command was aborted. Never blocks on the client.
     pub fn respond(&self, tag: TaskTag, response: Response) {
         lock(&self.target).respond(tag, response);
         self.wake_writer();
     }
 
-    /// Asks the client to log out.
+    /// Asks the client to log out within the given number of seconds.
     pub fn request_logout(&self, within_s: u16) {
         lock(&self.target).request_logout(within_s);
         self.wake_writer();
     }
 
-    /// Drops tasks without an answer; which ones.
+    /// Drops the tasks of a logical unit, or all tasks, without a response; returns their tags.
     pub fn abort_tasks(&self, lun: Option<u64>) -> Vec<TaskTag> {
         let mut target = lock(&self.target);
         let tags = target.tags(lun);
@@ -107,134 +112,135 @@
         tags
     }
 
-    /// Commands in work.
+    /// Number of commands without a response.
     pub fn task_count(&self) -> usize {
         lock(&self.target).task_count()
     }
 
-    /// Whether something is still to be written to the client.
+    /// Whether output for the client is queued or being written.
     pub fn has_unsent(&self) -> bool {
         let target = lock(&self.target);
-        target.queued() > 0 || self.writing.load(Ordering::SeqCst)
+        target.unsent_bytes() > 0 || self.writing.load(Ordering::SeqCst)
     }
 
-    /// Closes the connection at once.
+    /// Closes the connection immediately.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
         let _ = self.stream.shutdown(Shutdown::Both);
         self.wake_writer();
-        self.taken.notify_all();
+        self.output_taken.notify_all();
     }
 
     fn wake_writer(&self) {
-        // Full: the writer has a call to look again before it already.
+        // If the channel is full, the writer already has a wake-up pending.
         let _ = self.wake.try_send(());
     }
 }
 
-/// A session in the eyes of its initiator: name, ISID and target (RFC 7143, section 4.4.3).
+/// What identifies a session to its initiator: name, ISID and target (RFC 7143, section 4.4.3).
 type Nexus = (String, [u8; 6], Option<String>);
 
 struct Shared {
     config: PortalConfig,
-    service: Arc<dyn SessionHandler>,
+    handler: Arc<dyn SessionHandler>,
     sessions: Mutex<HashMap<SessionId, Arc<Session>>>,
     nexuses: Mutex<HashMap<Nexus, Arc<Session>>>,
-    open: AtomicUsize,
-    next: AtomicU64,
-    stopping: AtomicBool,
-    deaf: AtomicBool,
+    open_connections: AtomicUsize,
+    next_id: AtomicU64,
+    stopped_accepting: AtomicBool,
+    stopped_reading: AtomicBool,
 }
 
 impl Shared {
-    /// A handle that no open session has; never 0. There are far more handles than sessions may be open.
-    fn handle(&self, number: u64) -> u16 {
+    /// Returns a TSIH that no open session has; never 0. There are far more values than open sessions.
+    fn allocate_tsih(&self, id: u64) -> u16 {
         let sessions = lock(&self.sessions);
-        let from = number + u64::from(self.config.first_tsih);
-        let handles = (0..0xffff).map(|i| ((from + i) % 0xffff) as u16 + 1);
-        let free = |h: &u16| sessions.values().all(|s| s.tsih != *h);
-        handles.into_iter().find(free).unwrap_or(1)
+        let first = id + u64::from(self.config.first_tsih);
+        let candidates = (0..0xffff).map(|i| ((first + i) % 0xffff) as u16 + 1);
+        let is_free = |tsih: &u16| sessions.values().all(|s| s.tsih != *tsih);
+        candidates.into_iter().find(is_free).unwrap_or(1)
     }
 }
 
-/// A listener with its sessions.
+/// A listener and its sessions.
 pub struct Portal {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Portal {
-    /// Begins to accept.
+    /// Starts to accept connections.
     ///
     /// # Errors
-    /// No thread could be had.
+    /// The thread that accepts connections could not be started.
     pub fn start(
         listener: TcpListener,
         config: PortalConfig,
-        service: Arc<dyn SessionHandler>,
+        handler: Arc<dyn SessionHandler>,
     ) -> io::Result<Portal> {
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             config,
-            service,
+            handler,
             sessions: Mutex::default(),
             nexuses: Mutex::default(),
-            open: AtomicUsize::new(0),
-            next: AtomicU64::new(1),
-            stopping: AtomicBool::new(false),
-            deaf: AtomicBool::new(false),
+            open_connections: AtomicUsize::new(0),
+            next_id: AtomicU64::new(1),
+            stopped_accepting: AtomicBool::new(false),
+            stopped_reading: AtomicBool::new(false),
         });
-        let inner = shared.clone();
-        spawn_small_stack("portal", move || accept(&listener, &inner))?;
+        let acceptor = shared.clone();
+        spawn_small_stack("portal", move || accept_loop(&listener, &acceptor))?;
         Ok(Portal { address, shared })
     }
 
-    /// Where it listens.
+    /// The address that the portal listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections now open.
+    /// The open sessions.
     pub fn sessions(&self) -> Vec<Arc<Session>> {
         lock(&self.shared.sessions).values().cloned().collect()
     }
 
-    /// Accepts no more; open sessions go on.
+    /// Stops accepting connections; open sessions continue.
     pub fn stop_accepting(&self) {
-        self.shared.stopping.store(true, Ordering::SeqCst);
-        // The accepting thread sits in accept: a connection wakes it.
+        self.shared.stopped_accepting.store(true, Ordering::SeqCst);
+        // The accepting thread is blocked in `accept`; a connection wakes it.
         let _ = TcpStream::connect_timeout(&self.address, std::time::Duration::from_millis(500));
     }
 
-    /// Reads no further command from any client: what has not been taken stays with them.
+    /// Stops processing input from all clients: commands that were not processed yet are never executed.
     pub fn stop_reading(&self) {
-        self.shared.deaf.store(true, Ordering::SeqCst);
+        self.shared.stopped_reading.store(true, Ordering::SeqCst);
     }
 
-    /// Closes all connections at once, and accepts no more.
+    /// Closes all connections immediately and stops accepting new ones.
     pub fn close_all(&self) {
         self.stop_accepting();
         self.sessions().iter().for_each(|s| s.close());
     }
 }
 
-fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
+fn accept_loop(listener: &TcpListener, shared: &Arc<Shared>) {
     loop {
         let accepted = listener.accept();
-        if shared.stopping.load(Ordering::SeqCst) {
+        if shared.stopped_accepting.load(Ordering::SeqCst) {
             return;
         }
         match accepted {
             Ok((stream, peer)) => {
-                if shared.open.load(Ordering::SeqCst) >= shared.config.max_sessions {
-                    tracing::warn!(%peer, "connection closed: as many sessions as the settings allow");
+                if shared.open_connections.load(Ordering::SeqCst) >= shared.config.max_sessions {
+                    tracing::warn!(%peer, "connection closed: the maximum number of sessions is open");
                     continue;
                 }
-                if let Err(e) = begin(stream, peer, shared) {
-                    tracing::warn!(%peer, error = %e, "connection closed");
+                if let Err(e) = start_session(stream, peer, shared) {
+                    tracing::warn!(%peer, error = %e, "connection closed: its session could not be started");
                 }
             }
-            // Out of descriptors, or a connection that died in the queue: let others end before the next try.
+            // Out of file descriptors, or the connection was reset in the accept queue. The pause gives other
+            // connections time to end and free descriptors.
             Err(e) => {
                 tracing::warn!(error = %e, "accept failed");
                 std::thread::sleep(std::time::Duration::from_millis(20));
@@ -243,57 +249,58 @@
     }
 }
 
-fn begin(stream: TcpStream, peer: SocketAddr, shared: &Arc<Shared>) -> io::Result<()> {
+fn start_session(stream: TcpStream, peer: SocketAddr, shared: &Arc<Shared>) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let number = shared.next.fetch_add(1, Ordering::SeqCst);
-    let tsih = shared.handle(number);
+    let id = shared.next_id.fetch_add(1, Ordering::SeqCst);
+    let tsih = shared.allocate_tsih(id);
     let target = Target::new(shared.config.access.clone(), tsih, shared.config.limits);
-    let (wake, woken) = bounded(1);
+    let (wake, wakeups) = bounded(1);
     let session = Arc::new(Session {
-        id: SessionId(number),
+        id: SessionId(id),
         tsih,
         peer,
         target: Mutex::new(target),
-        taken: Condvar::new(),
+        output_taken: Condvar::new(),
         wake,
         stream: stream.try_clone()?,
-        over: AtomicBool::new(false),
+        ended: AtomicBool::new(false),
         closed: AtomicBool::new(false),
         writing: AtomicBool::new(false),
     });
-    let tap = StreamTap(shared.config.tap.clone().map(|t| (t, number)));
-    let (writing, writer_stream, writer_tap) = (session.clone(), stream.try_clone()?, tap.clone());
+    let tap = StreamTap(shared.config.tap.clone().map(|t| (t, id)));
+    let (writer_session, writer_stream, writer_tap) = (session.clone(), stream.try_clone()?, tap.clone());
     lock(&shared.sessions).insert(session.id, session.clone());
-    shared.open.fetch_add(1, Ordering::SeqCst);
-    let reading = Reading { shared: shared.clone(), session, tap, nexus: None };
-    // From here on the reading thread's end clears everything, whatever fails.
-    let writer =
-        spawn_small_stack("writer", move || write_loop(&writing, writer_stream, &woken, &writer_tap));
+    shared.open_connections.fetch_add(1, Ordering::SeqCst);
+    let reader = Reader { shared: shared.clone(), session, tap, nexus: None };
+    // From here on, whatever fails, `Reader::finish` removes the session.
+    let writer = spawn_small_stack("writer", move || {
+        write_loop(&writer_session, writer_stream, &wakeups, &writer_tap)
+    });
     if writer.is_err() {
-        reading.finish("no thread for it");
+        reader.finish("the writer thread could not be started");
         return writer.map(drop);
     }
-    spawn_small_stack("reader", move || reading.run(stream)).map(drop)
+    spawn_small_stack("reader", move || reader.run(stream)).map(drop)
 }
 
-fn write_loop(session: &Session, mut stream: TcpStream, woken: &Receiver<()>, tap: &StreamTap) {
-    while woken.recv().is_ok() {
+fn write_loop(session: &Session, mut stream: TcpStream, wakeups: &Receiver<()>, tap: &StreamTap) {
+    while wakeups.recv().is_ok() {
         loop {
-            let (runs, closing) = {
+            let (chunks, closing) = {
                 let mut target = lock(&session.target);
-                let runs = target.take_output();
-                session.writing.store(!runs.is_empty(), Ordering::SeqCst);
-                (runs, target.is_closing())
+                let chunks = target.take_output();
+                session.writing.store(!chunks.is_empty(), Ordering::SeqCst);
+                (chunks, target.is_closing())
             };
-            session.taken.notify_all();
-            if runs.is_empty() {
-                if closing || session.over.load(Ordering::SeqCst) {
+            session.output_taken.notify_all();
+            if chunks.is_empty() {
+                if closing || session.ended.load(Ordering::SeqCst) {
                     let _ = stream.shutdown(Shutdown::Both);
                     return;
                 }
                 break;
             }
-            if write_runs(&mut stream, runs, tap).is_err() {
+            if write_chunks(&mut stream, chunks, tap).is_err() {
                 session.writing.store(false, Ordering::SeqCst);
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
@@ -302,25 +309,26 @@
     }
 }
 
-/// How long a client has to take what was said last.
-const LAST_WORDS: std::time::Duration = std::time::Duration::from_secs(1);
+/// How long a client may take to receive the last output of its session.
+const FINAL_FLUSH_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
 
-struct Reading {
+/// The state of a session's reader thread.
+struct Reader {
     shared: Arc<Shared>,
     session: Arc<Session>,
     tap: StreamTap,
     nexus: Option<Nexus>,
 }
 
-impl Reading {
+impl Reader {
     fn run(mut self, mut stream: TcpStream) {
-        let why = self.read_loop(&mut stream);
-        self.finish(&why);
+        let reason = self.read_loop(&mut stream);
+        self.finish(&reason);
     }
 
-    fn finish(&self, why: &str) {
+    fn finish(&self, reason: &str) {
         let (shared, session) = (&self.shared, &self.session);
-        end_once(shared, session, why);
+        end_once(shared, session, reason);
         lock(&shared.sessions).remove(&session.id);
         if let Some(nexus) = &self.nexus {
             let mut nexuses = lock(&shared.nexuses);
@@ -328,48 +336,53 @@
                 nexuses.remove(nexus);
             }
         }
-        // What was said last, a reject or a login status, is still written. Danger: a client that never reads it
-        // would keep the writing thread for ever, and could have as many of them as it likes.
+        // The last output, such as a Reject or a login status, is still written. The time is limited: a
+        // client that never reads it would block the writer thread forever, and could do so with any number
+        // of connections.
         session.wake_writer();
-        let until = std::time::Instant::now() + LAST_WORDS;
-        while session.has_unsent() && std::time::Instant::now() < until {
+        let deadline = std::time::Instant::now() + FINAL_FLUSH_TIMEOUT;
+        while session.has_unsent() && std::time::Instant::now() < deadline {
             let target = lock(&session.target);
-            drop(session.taken.wait_timeout(target, LAST_WORDS / 50));
+            drop(session.output_taken.wait_timeout(target, FINAL_FLUSH_TIMEOUT / 50));
         }
         session.close();
         self.tap.closed();
-        shared.open.fetch_sub(1, Ordering::SeqCst);
+        shared.open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 
     fn read_loop(&mut self, stream: &mut TcpStream) -> String {
         let mut events = Vec::new();
         let session = self.session.clone();
         loop {
-            // The decoder is this thread's alone: its buffer is filled without the lock.
-            let (mut buffer, wanted) = {
+            // Only this thread uses the decoder, so its buffer is filled without holding the lock.
+            let (mut buffer, missing) = {
                 let mut target = lock(&session.target);
-                while target.queued() > self.shared.config.max_unsent_bytes
-                    && !session.over.load(Ordering::SeqCst)
+                while target.unsent_bytes() > self.shared.config.max_unsent_bytes
+                    && !session.ended.load(Ordering::SeqCst)
                 {
-                    // Danger: a client that sends and never reads would fill memory with answers.
+                    // A client that sends commands and never reads would otherwise fill memory with
+                    // responses.
                     let wait = std::time::Duration::from_millis(500);
-                    let waited = session.taken.wait_timeout(target, wait);
-                    target = waited.unwrap_or_else(PoisonError::into_inner).0;
+                    let wait_result = session.output_taken.wait_timeout(target, wait);
+                    target = wait_result.unwrap_or_else(PoisonError::into_inner).0;
                 }
-                let wanted = target.decoder().wanted();
-                (std::mem::take(target.decoder().buffer()), wanted)
+                let missing = target.decoder().missing_bytes();
+                (std::mem::take(target.decoder().buffer()), missing)
             };
-            let had = buffer.len();
-            match read_once(stream, &mut buffer, wanted) {
+            let old_len = buffer.len();
+            match read_once(stream, &mut buffer, missing) {
                 Ok(0) => return "closed by the peer".to_owned(),
-                Ok(_) => self.tap.bytes(Direction::In, &buffer[had..]),
+                Ok(_) => self.tap.bytes(Direction::In, &buffer[old_len..]),
                 Err(e) => return e.to_string(),
             }
             {
                 let mut target = lock(&session.target);
-                while self.shared.deaf.load(Ordering::SeqCst) && !session.over.load(Ordering::SeqCst) {
-                    let waited = session.taken.wait_timeout(target, std::time::Duration::from_millis(100));
-                    target = waited.unwrap_or_else(PoisonError::into_inner).0;
+                while self.shared.stopped_reading.load(Ordering::SeqCst)
+                    && !session.ended.load(Ordering::SeqCst)
+                {
+                    let wait_result =
+                        session.output_taken.wait_timeout(target, std::time::Duration::from_millis(100));
+                    target = wait_result.unwrap_or_else(PoisonError::into_inner).0;
                     if session.closed.load(Ordering::SeqCst) {
                         return "stopped".to_owned();
                     }
@@ -377,7 +390,8 @@
                 *target.decoder().buffer() = buffer;
                 target.process(&mut events);
             }
-            // What the session itself has to say first, as a login answer, goes out before what events lead to.
+            // The session's own output, such as a login response, is sent before any response to the events
+            // below.
             session.wake_writer();
             for event in events.drain(..) {
                 match event {
@@ -387,12 +401,12 @@
                             return status.to_string();
                         }
                     }
-                    TargetEvent::Command(c) => self.shared.service.command(&session, *c),
-                    TargetEvent::Aborted(tag) => self.shared.service.aborted(&session, tag),
+                    TargetEvent::Command(c) => self.shared.handler.command(&session, *c),
+                    TargetEvent::Aborted(tag) => self.shared.handler.aborted(&session, tag),
                     TargetEvent::TaskManagement { function, lun } => {
-                        self.shared.service.task_management(&session, function, lun);
+                        self.shared.handler.task_management(&session, function, lun);
                     }
-                    TargetEvent::Closing(why) => return why,
+                    TargetEvent::Closing(reason) => return reason,
                 }
             }
         }
@@ -400,20 +414,20 @@
 
     fn logged_in(&mut self, nexus: Nexus, target: Option<&str>) -> Result<(), LoginStatus> {
         // Session reinstatement (RFC 7143, section 6.3.5): the older session of this nexus ends first.
-        let old = lock(&self.shared.nexuses).insert(nexus.clone(), self.session.clone());
-        if let Some(old) = old {
-            end_once(&self.shared, &old, "replaced by a new session of the same initiator and ISID");
+        let replaced = lock(&self.shared.nexuses).insert(nexus.clone(), self.session.clone());
+        if let Some(replaced) = replaced {
+            end_once(&self.shared, &replaced, "replaced by a new session of the same initiator and ISID");
         }
         let initiator = nexus.0.clone();
         self.nexus = Some(nexus);
-        self.shared.service.logged_in(&self.session, &initiator, target)
+        self.shared.handler.logged_in(&self.session, &initiator, target)
     }
 }
 
-/// Tells the service once that a session is over, whichever thread finds out first.
-fn end_once(shared: &Shared, session: &Arc<Session>, why: &str) {
-    if !session.over.swap(true, Ordering::SeqCst) {
-        shared.service.closed(session, why);
+/// Notifies the handler that a session is over, once, whichever thread finds out first.
+fn end_once(shared: &Shared, session: &Arc<Session>, reason: &str) {
+    if !session.ended.swap(true, Ordering::SeqCst) {
+        shared.handler.closed(session, reason);
         if !lock(&session.target).is_closing() {
             session.close();
         }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! Reading into a decoder, writing runs of bytes, threads with small stacks.
+//! Blocking reads and vectored writes, taps, retries after resource shortages, and threads with small stacks.
 
 use bytes::{Buf, Bytes, BytesMut};
 use rustix::io::Errno;
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Which way bytes went, seen from the socket that notes them.
+/// The direction of bytes, seen from the tapped socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Read from the socket.
@@ -17,15 +17,15 @@
     Out,
 }
 
-/// Somebody who notes the bytes of a socket as they pass, for records that are checked later.
+/// Observes the bytes of sockets, for recordings that are checked later.
 pub trait Tap: Send + Sync {
-    /// Bytes passed on a stream; streams are numbered by whoever sets the tap.
+    /// Bytes were read or are about to be written. The creator of the tap numbers the streams.
     fn bytes(&self, stream: u64, direction: Direction, bytes: &[u8]);
-    /// The stream is closed.
+    /// The stream was closed.
     fn closed(&self, stream: u64);
 }
 
-/// A tap, where there is one, and the number of the stream.
+/// A tap and the number of the stream that it observes; `None` where nothing is recorded.
 #[derive(Clone, Default)]
 pub struct StreamTap(pub Option<(Arc<dyn Tap>, u64)>);
 
@@ -43,15 +43,16 @@
     }
 }
 
-/// Locks past a panic of another thread: what a lock guards here is whole between any two statements that hold it.
-pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex even if another thread panicked while holding it. The data that these mutexes guard is
+/// consistent after every statement.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A thread with a stack of 256 KiB, of which only touched pages are taken.
+/// Starts a thread with a stack of 256 KiB, of which only the touched pages use memory.
 ///
 /// # Errors
-/// The system gives no further thread.
+/// The system cannot start another thread.
 pub fn spawn_small_stack(
     name: &str,
     body: impl FnOnce() + Send + 'static,
@@ -59,22 +60,23 @@
     std::thread::Builder::new().name(name.to_owned()).stack_size(256 * 1024).spawn(body)
 }
 
-/// Whether a send or a read failed for this moment alone, and the connection is as it was: the system had no memory for
-/// it, or the socket no room.
-pub(crate) fn is_momentary(error: Errno) -> bool {
+/// Whether a send or a read failed only temporarily and the connection is intact: the system had no memory,
+/// or the socket had no room or no data.
+pub(crate) fn is_transient(error: Errno) -> bool {
     matches!(error, Errno::AGAIN | Errno::NOBUFS | Errno::NOMEM)
 }
 
-/// The same of a socket that waits: true after a moment in which others may give memory back.
-fn waited_out(error: &io::Error) -> bool {
-    let momentary = matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM));
-    if momentary {
-        std::thread::sleep(AGAIN);
+/// Whether a call on a blocking socket failed for lack of memory; sleeps before it returns true, so that
+/// memory may be freed before the call is repeated.
+fn wait_if_out_of_memory(error: &io::Error) -> bool {
+    let out_of_memory = matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM));
+    if out_of_memory {
+        std::thread::sleep(RETRY_DELAY);
     }
-    momentary
+    out_of_memory
 }
 
-/// Whether the system had no descriptor, port, thread or memory in this moment.
+/// Whether the system was short of file descriptors, ports, threads or memory, or interrupted the call.
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     use Errno as E;
     matches!(
@@ -83,67 +85,72 @@
     )
 }
 
-/// Pause between tries for something that a process needs to start.
-const START_AGAIN: Duration = Duration::from_millis(20);
-/// For so long a process tries to get what it needs to start.
-const START_WITHIN: Duration = Duration::from_secs(15);
+/// Delay between attempts to get a resource at startup.
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long a process tries to get a resource at startup.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Gets something that a process needs to start, though the system is short of it in the first moments.
+/// Acquires a resource that a process needs to start, and retries while the system is short of it.
 ///
 /// # Errors
-/// It is refused for another reason, or for too long.
-pub fn retry_startup_shortage<T>(mut get: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + START_WITHIN;
+/// Acquiring fails for another reason, or the shortage lasts too long.
+pub fn retry_startup_shortage<T>(mut acquire: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     loop {
-        match get() {
-            Err(e) if is_resource_shortage(&e) && Instant::now() < until => std::thread::sleep(START_AGAIN),
+        match acquire() {
+            Err(e) if is_resource_shortage(&e) && Instant::now() < deadline => {
+                std::thread::sleep(STARTUP_RETRY_DELAY)
+            }
             other => return other,
         }
     }
 }
 
-/// Pause before a call that failed for a moment is made again.
-const AGAIN: Duration = Duration::from_millis(2);
-/// Least room for a read: an idle session holds no more.
-const READ_LEAST: usize = 4 * 1024;
-const READ_MOST: usize = 256 * 1024;
+/// Delay before a call that failed for lack of memory is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(2);
+/// Smallest buffer for a read in bytes; an idle session holds no more than this.
+const MIN_READ: usize = 4 * 1024;
+/// Largest buffer for a read in bytes.
+const MAX_READ: usize = 256 * 1024;
 
-/// Reads once, `wanted` bytes or a little more, to the end of a buffer; the number of bytes read.
+/// Reads once and appends to a buffer, with room for `wanted` bytes within [`MIN_READ`] and [`MAX_READ`].
+/// Returns the number of bytes read; 0 is the end of the stream.
 ///
 /// # Errors
-/// What the socket says.
+/// The error of the socket.
 pub(crate) fn read_once(stream: &mut impl Read, buffer: &mut BytesMut, wanted: usize) -> io::Result<usize> {
-    let had = buffer.len();
-    buffer.resize(had + wanted.clamp(READ_LEAST, READ_MOST), 0);
-    let got = loop {
-        match stream.read(&mut buffer[had..]) {
-            Err(e) if e.kind() == io::ErrorKind::Interrupted || waited_out(&e) => {}
+    let old_len = buffer.len();
+    buffer.resize(old_len + wanted.clamp(MIN_READ, MAX_READ), 0);
+    let result = loop {
+        match stream.read(&mut buffer[old_len..]) {
+            Err(e) if e.kind() == io::ErrorKind::Interrupted || wait_if_out_of_memory(&e) => {}
             other => break other,
         }
     };
-    buffer.truncate(had + *got.as_ref().unwrap_or(&0));
-    got
+    buffer.truncate(old_len + *result.as_ref().unwrap_or(&0));
+    result
 }
 
-/// Writes all runs, several in one call.
-pub(crate) fn write_runs(stream: &mut TcpStream, runs: Vec<Bytes>, tap: &StreamTap) -> io::Result<()> {
-    // Noted before they go: a thread that waits for a core after its write would note a question after its answer.
-    runs.iter().for_each(|r| tap.bytes(Direction::Out, r));
-    let mut runs: VecDeque<Bytes> = runs.into();
-    while !runs.is_empty() {
-        let slices: Vec<IoSlice<'_>> = runs.iter().take(64).map(|r| IoSlice::new(r)).collect();
-        let mut wrote = match stream.write_vectored(&slices) {
+/// Writes all chunks, up to 64 of them with each system call.
+pub(crate) fn write_chunks(stream: &mut TcpStream, chunks: Vec<Bytes>, tap: &StreamTap) -> io::Result<()> {
+    // Recorded before the write: if this thread were descheduled after its write, the response to a request
+    // could be recorded before the request.
+    chunks.iter().for_each(|c| tap.bytes(Direction::Out, c));
+    let mut chunks: VecDeque<Bytes> = chunks.into();
+    while !chunks.is_empty() {
+        let slices: Vec<IoSlice<'_>> = chunks.iter().take(64).map(|c| IoSlice::new(c)).collect();
+        let mut written = match stream.write_vectored(&slices) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(n) => n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted || waited_out(&e) => continue,
+            Err(e) if e.kind() == io::ErrorKind::Interrupted || wait_if_out_of_memory(&e) => continue,
             Err(e) => return Err(e),
         };
-        while let Some(first) = runs.front_mut().filter(|_| wrote > 0) {
-            let n = wrote.min(first.len());
+        while let Some(first) = chunks.front_mut().filter(|_| written > 0) {
+            let n = written.min(first.len());
             first.advance(n);
-            wrote -= n;
+            written -= n;
             if first.is_empty() {
-                runs.pop_front();
+                chunks.pop_front();
             }
         }
     }
--- a/crates/net/src/write_buffer.rs
+++ b/crates/net/src/write_buffer.rs
@@ -1,9 +1,10 @@
-//! Writing to a socket without ever waiting for it.
+//! Non-blocking writes to a socket.
 //!
-//! One thread answers all clients and sends to all nodes: none of them may hold it up. What the system does not take at
-//! once is kept, within a bound, and put on by one thread for all.
+//! One thread sends all responses to clients and all requests to nodes, so no peer may block it. Bytes that
+//! the kernel does not accept at once are buffered, up to a limit, and one shared flusher thread sends them
+//! later.
 
-use crate::stream::{is_momentary, lock, spawn_small_stack};
+use crate::stream::{is_transient, lock, spawn_small_stack};
 use bytes::{Buf, Bytes};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -15,135 +16,139 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
 
-/// Bytes kept for one socket; one that takes nothing for so long is given up. Whoever writes bounds what is out on a
-/// connection well below: this is over 32 answers of 64 KiB with their heads.
-const MOST_KEPT: usize = (2 << 20) + (64 << 10);
-/// How often what is kept is offered again.
-const AGAIN: Duration = Duration::from_millis(2);
+/// Maximum number of bytes buffered for one socket; a socket that exceeds it is shut down. Callers limit the
+/// responses in flight on a connection well below this, which is over 32 responses of 64 KiB with their
+/// headers.
+const MAX_BUFFERED: usize = (2 << 20) + (64 << 10);
+/// How often the flusher offers buffered bytes to the kernel again.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What waits at a socket to be read.
+/// What the receive side of a socket holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeekResult {
-    /// Nothing.
+    /// No data yet.
     Empty,
-    /// Bytes.
+    /// Unread data, or the state is unknown for lack of memory.
     Data,
-    /// Its end: closed or lost.
+    /// The peer has closed the connection, or it is lost.
     Closed,
 }
 
-/// The writing side of a socket.
+/// A socket with a buffer for the bytes that the kernel has not accepted yet.
 pub struct WriteBuffer {
     stream: TcpStream,
-    kept: Mutex<Kept>,
+    buffered: Mutex<Buffered>,
     flusher: Flusher,
 }
 
-/// What the system has not taken yet.
+/// Chunks that the kernel has not accepted yet.
 #[derive(Default)]
-struct Kept {
-    /// One for each call of `put`, the first perhaps begun.
-    runs: VecDeque<Bytes>,
-    /// Part of the first of them went out.
-    begun: bool,
-    /// Nothing more goes out.
+struct Buffered {
+    /// One chunk for each call of `send`; the first may be partly sent.
+    chunks: VecDeque<Bytes>,
+    /// Part of the first chunk has been sent.
+    partly_sent: bool,
+    /// The connection failed or was aborted: nothing more is sent.
     lost: bool,
 }
 
-impl Kept {
+impl Buffered {
     fn bytes(&self) -> usize {
-        self.runs.iter().map(Bytes::len).sum()
+        self.chunks.iter().map(Bytes::len).sum()
     }
 }
 
 impl WriteBuffer {
-    /// Over a connected stream.
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream, flusher: &Flusher) -> Arc<WriteBuffer> {
-        Arc::new(WriteBuffer { stream, kept: Mutex::default(), flusher: flusher.clone() })
+        Arc::new(WriteBuffer { stream, buffered: Mutex::default(), flusher: flusher.clone() })
     }
 
-    /// The stream, to be read by one thread.
+    /// The stream. Only one thread may read from it.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Sends bytes in their turn, now or when the socket takes them.
+    /// Sends bytes after all earlier ones, at once or when the socket has room.
     ///
     /// # Errors
-    /// The socket is lost, or too much waits for it; it is shut.
+    /// The connection is lost, or its buffer is full; the socket is shut down.
     pub fn send(self: &Arc<Self>, bytes: Bytes) -> io::Result<()> {
-        let mut kept = lock(&self.kept);
-        if kept.lost {
+        let mut buffered = lock(&self.buffered);
+        if buffered.lost {
             return Err(io::ErrorKind::NotConnected.into());
         }
-        let late = !kept.runs.is_empty();
-        kept.runs.push_back(bytes);
-        let sent = if late { Ok(()) } else { self.offer(&mut kept) };
-        let waits = !kept.runs.is_empty();
-        let most = kept.bytes() > MOST_KEPT;
-        kept.lost |= most || sent.is_err();
-        drop(kept);
-        if most || sent.is_err() {
+        let flush_pending = !buffered.chunks.is_empty();
+        buffered.chunks.push_back(bytes);
+        let sent = if flush_pending { Ok(()) } else { self.flush(&mut buffered) };
+        let incomplete = !buffered.chunks.is_empty();
+        let overflow = buffered.bytes() > MAX_BUFFERED;
+        buffered.lost |= overflow || sent.is_err();
+        drop(buffered);
+        if overflow || sent.is_err() {
             self.shutdown();
             return sent.and(Err(io::ErrorKind::WriteZero.into()));
         }
-        if waits && !late {
-            self.flusher.watch(self);
+        if incomplete && !flush_pending {
+            self.flusher.schedule(self);
         }
         Ok(())
     }
 
-    /// Bytes that the system has not taken yet.
+    /// Number of bytes that the kernel has not accepted yet.
     pub fn buffered_bytes(&self) -> usize {
-        lock(&self.kept).bytes()
+        lock(&self.buffered).bytes()
     }
 
-    /// Runs of which the last byte has not been taken by the system.
+    /// Number of chunks whose last byte the kernel has not accepted yet.
     pub fn unsent_chunks(&self) -> usize {
-        lock(&self.kept).runs.len()
+        lock(&self.buffered).chunks.len()
     }
 
-    /// Takes back the run that was put before `behind` others, if no byte of it has gone out.
-    pub fn cancel_unsent(&self, behind: usize) -> bool {
-        let mut kept = lock(&self.kept);
-        let Some(at) = kept.runs.len().checked_sub(behind + 1) else { return false };
-        if at == 0 && kept.begun {
+    /// Removes the chunk after which `later_chunks` others were sent, if no byte of it has gone out; returns
+    /// whether it was removed.
+    pub fn cancel_unsent(&self, later_chunks: usize) -> bool {
+        let mut buffered = lock(&self.buffered);
+        let Some(index) = buffered.chunks.len().checked_sub(later_chunks + 1) else { return false };
+        if index == 0 && buffered.partly_sent {
             return false;
         }
-        kept.runs.remove(at).is_some()
+        buffered.chunks.remove(index).is_some()
     }
 
-    /// Ends both directions for good; the number of runs whose last byte has not gone out and never will.
+    /// Shuts down both directions for good; returns the number of chunks whose last byte has not gone out and
+    /// never will.
     ///
-    /// Danger: told from a count alone, the rest of a command may still be put on behind it, and what was said never to
-    /// have run runs.
+    /// A mere count would not do: the flusher could still send the rest of a command after the count was
+    /// taken, and a command that was reported as never executed would be executed.
     pub fn abort(&self) -> usize {
-        let mut kept = lock(&self.kept);
-        kept.lost = true;
+        let mut buffered = lock(&self.buffered);
+        buffered.lost = true;
         self.shutdown();
-        std::mem::take(&mut kept.runs).len()
+        std::mem::take(&mut buffered.chunks).len()
     }
 
-    fn offer(&self, kept: &mut Kept) -> io::Result<()> {
-        while let Some(first) = kept.runs.front_mut() {
+    /// Sends as many buffered bytes as the kernel accepts.
+    fn flush(&self, buffered: &mut Buffered) -> io::Result<()> {
+        while let Some(first) = buffered.chunks.front_mut() {
             match rustix::net::send(&self.stream, first, SendFlags::DONTWAIT | SendFlags::NOSIGNAL) {
                 Ok(n) => {
                     first.advance(n);
-                    kept.begun |= n > 0;
+                    buffered.partly_sent |= n > 0;
                 }
                 Err(Errno::INTR) => {}
-                Err(e) if is_momentary(e) => return Ok(()),
+                Err(e) if is_transient(e) => return Ok(()),
                 Err(e) => return Err(e.into()),
             }
-            if kept.runs.front().is_some_and(Bytes::is_empty) {
-                kept.runs.pop_front();
-                kept.begun = false;
+            if buffered.chunks.front().is_some_and(Bytes::is_empty) {
+                buffered.chunks.pop_front();
+                buffered.partly_sent = false;
             }
         }
         Ok(())
     }
 
-    /// What waits to be read, without reading it.
+    /// Tells what can be read, without consuming it.
     pub fn peek(&self) -> PeekResult {
         let mut byte = [0u8; 1];
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
@@ -151,110 +156,114 @@
             Ok((_, 0)) => PeekResult::Closed,
             Ok(_) => PeekResult::Data,
             Err(Errno::AGAIN) => PeekResult::Empty,
-            // Not known: whoever asks must not take it for nothing.
-            Err(e) if is_momentary(e) => PeekResult::Data,
+            // Unknown, so reported as data: callers rely on `Empty` meaning that there is none.
+            Err(e) if is_transient(e) => PeekResult::Data,
             Err(_) => PeekResult::Closed,
         }
     }
 
-    /// Whether the other end sends no more or the connection is lost, whatever waits unread before its end.
+    /// Whether the peer has closed its sending side or the connection is lost, even with unread data before
+    /// the end.
     pub fn peer_closed(&self) -> bool {
         let mut sockets = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let told = retry_on_intr(|| poll(&mut sockets, Some(&at_once)));
-        told.is_ok() && !sockets[0].revents().is_empty()
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let polled = retry_on_intr(|| poll(&mut sockets, Some(&no_wait)));
+        polled.is_ok() && !sockets[0].revents().is_empty()
     }
 
-    /// Reads what is there into a buffer, without waiting: the number of bytes, or `None` where there are none yet.
+    /// Reads available bytes without blocking. Returns their number, 0 at the end of the stream, or `None` if
+    /// there are none yet.
     ///
     /// # Errors
-    /// The socket is lost. 0 bytes: its end.
+    /// The connection is lost.
     pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         match rustix::net::recv(&self.stream, buffer, RecvFlags::DONTWAIT) {
             Ok((_, n)) => Ok(Some(n)),
             Err(Errno::INTR) => Ok(None),
-            Err(e) if is_momentary(e) => Ok(None),
+            Err(e) if is_transient(e) => Ok(None),
             Err(e) => Err(e.into()),
         }
     }
 
-    /// Ends the sending side: whoever reads at the other end sees an end behind the last byte.
+    /// Closes the sending side: the peer reads the end of the stream after the last byte.
     pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Ends both directions; whoever reads is woken.
+    /// Closes both directions; wakes a thread that is blocked in a read.
     pub fn shutdown(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// The thread that puts on what sockets did not take at once.
+/// A handle of the thread that sends the buffered bytes of all [`WriteBuffer`]s.
 #[derive(Clone)]
 pub struct Flusher {
-    late: Sender<Weak<WriteBuffer>>,
+    pending: Sender<Weak<WriteBuffer>>,
 }
 
 impl Flusher {
-    /// Starts it; it ends when nobody holds it any more.
+    /// Starts the thread; it ends when the last handle is dropped.
     ///
     /// # Errors
-    /// No thread could be had.
+    /// The thread could not be started.
     pub fn start() -> io::Result<Flusher> {
-        let (late, came) = bounded(4096);
-        spawn_small_stack("flusher", move || flush(&came))?;
-        Ok(Flusher { late })
+        let (pending, receiver) = bounded(4096);
+        spawn_small_stack("flusher", move || flush_loop(&receiver))?;
+        Ok(Flusher { pending })
     }
 
-    fn watch(&self, write_buffer: &Arc<WriteBuffer>) {
-        if self.late.try_send(Arc::downgrade(write_buffer)).is_err() {
+    /// Has the thread flush a buffer until it is empty; shuts the socket down if the queue of the thread is
+    /// full.
+    fn schedule(&self, write_buffer: &Arc<WriteBuffer>) {
+        if self.pending.try_send(Arc::downgrade(write_buffer)).is_err() {
             write_buffer.shutdown();
         }
     }
 }
 
-fn flush(came: &Receiver<Weak<WriteBuffer>>) {
-    let mut late: Vec<Weak<WriteBuffer>> = Vec::new();
+fn flush_loop(receiver: &Receiver<Weak<WriteBuffer>>) {
+    let mut pending: Vec<Weak<WriteBuffer>> = Vec::new();
     loop {
-        if late.is_empty() {
-            match came.recv() {
-                Ok(one) => late.push(one),
+        if pending.is_empty() {
+            match receiver.recv() {
+                Ok(write_buffer) => pending.push(write_buffer),
                 Err(_) => return,
             }
         }
-        match came.recv_timeout(AGAIN) {
-            Ok(one) => late.push(one),
+        match receiver.recv_timeout(FLUSH_INTERVAL) {
+            Ok(write_buffer) => pending.push(write_buffer),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        late.retain(|weak| {
+        pending.retain(|weak| {
             let Some(write_buffer) = weak.upgrade() else { return false };
-            let mut kept = lock(&write_buffer.kept);
-            if kept.lost {
+            let mut buffered = lock(&write_buffer.buffered);
+            if buffered.lost {
                 return false;
             }
-            if write_buffer.offer(&mut kept).is_err() {
-                // What is left stays: whoever closes it asks how much never went out.
-                kept.lost = true;
+            if write_buffer.flush(&mut buffered).is_err() {
+                // The unsent chunks stay: `abort` reports how many never went out.
+                buffered.lost = true;
                 write_buffer.shutdown();
             }
-            !kept.lost && !kept.runs.is_empty()
+            !buffered.lost && !buffered.chunks.is_empty()
         });
     }
 }
 
-/// Lets a listener hold more connections that nobody has accepted yet.
+/// Sets the length of a listener's accept queue.
 ///
-/// Danger: with the usual queue a crowd that connects at once has the system drop others' connections, whose clients
-/// come again after a second only.
+/// With the default length, many clients that connect at once fill the queue, and the kernel drops the
+/// connection requests of others, which TCP repeats only after a second.
 ///
 /// # Errors
-/// What the system says.
+/// The error of `listen`.
 pub fn set_accept_backlog(listener: &TcpListener, connections: i32) -> io::Result<()> {
     Ok(rustix::net::listen(listener, connections)?)
 }
 
-/// Takes no more connections; whoever waits to accept one is woken.
+/// Stops accepting connections; wakes a thread that is blocked in `accept`.
 pub fn shutdown_listener(listener: &TcpListener) {
     let _ = rustix::net::shutdown(listener, rustix::net::Shutdown::Both);
 }
--- a/crates/net/tests/write_buffer.rs
+++ b/crates/net/tests/write_buffer.rs
@@ -1,4 +1,4 @@
-//! What the system has not taken yet, and what becomes of it.
+//! The bytes that the kernel has not accepted yet: abort, cancellation, and the end of the connection.
 
 use bytes::Bytes;
 use pearfork_net::{Flusher, Interest, PeekResult, Poller, WriteBuffer};
@@ -7,72 +7,77 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn pair() -> (Arc<WriteBuffer>, TcpStream) {
+fn connected_pair() -> (Arc<WriteBuffer>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let there = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let here = listener.accept().unwrap().0;
-    (WriteBuffer::new(here, &Flusher::start().unwrap()), there)
+    let remote = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let local = listener.accept().unwrap().0;
+    (WriteBuffer::new(local, &Flusher::start().unwrap()), remote)
 }
 
-/// Puts runs until one is kept whole behind another that is kept, in part or whole; the number of runs put.
+/// Sends chunks until at least two are buffered, of which only the first may be partly sent; returns how many
+/// were sent.
 fn fill(buffer: &Arc<WriteBuffer>) -> usize {
-    let run = Bytes::from(vec![b'a'; 300_000]);
-    let mut put = 0;
+    let chunk = Bytes::from(vec![b'a'; 300_000]);
+    let mut sent = 0;
     while buffer.unsent_chunks() < 2 {
-        buffer.send(run.clone()).unwrap();
-        put += 1;
-        assert!(put < 200, "the system takes everything");
+        buffer.send(chunk.clone()).unwrap();
+        sent += 1;
+        assert!(sent < 200, "the kernel accepts everything");
     }
-    put
+    sent
 }
 
-/// Danger: told from a count alone, the rest is put on behind it, and what was said never to have run runs.
+/// If abort only counted the unsent chunks, the flusher could send the rest of a command afterwards, and a
+/// command that was reported as never executed would be executed.
 #[test]
-fn nothing_goes_out_behind_the_count_of_an_abort() {
-    let (buffer, mut there) = pair();
-    let put = fill(&buffer);
+fn no_buffered_byte_is_sent_after_abort() {
+    let (buffer, mut remote) = connected_pair();
+    let sent = fill(&buffer);
     let unsent = buffer.abort();
-    assert!((2..put).contains(&unsent), "{unsent} of {put}");
+    assert!((2..sent).contains(&unsent), "{unsent} of {sent}");
     assert!(buffer.send(Bytes::from_static(b"b")).is_err());
-    let mut got = 0;
-    let mut piece = vec![0; 1 << 16];
-    while let Ok(n @ 1..) = there.read(&mut piece) {
-        got += n;
+    let mut received = 0;
+    let mut chunk = vec![0; 1 << 16];
+    while let Ok(n @ 1..) = remote.read(&mut chunk) {
+        received += n;
     }
-    assert!(got < (put - unsent + 1) * 300_000, "the last byte of what was not sent did not come: {got}");
+    assert!(
+        received < (sent - unsent + 1) * 300_000,
+        "the last byte of the first unsent chunk arrived: {received} bytes"
+    );
     assert_eq!((buffer.unsent_chunks(), buffer.abort()), (0, 0));
 }
 
 #[test]
-fn a_run_of_which_nothing_went_out_is_taken_back_and_one_that_began_is_not() {
-    let (buffer, mut there) = pair();
-    let put = fill(&buffer);
+fn only_a_chunk_of_which_nothing_was_sent_can_be_cancelled() {
+    let (buffer, mut remote) = connected_pair();
+    let sent = fill(&buffer);
     buffer.send(Bytes::from_static(b"bbb")).unwrap();
     buffer.send(Bytes::from_static(b"c")).unwrap();
     assert_eq!(buffer.unsent_chunks(), 4);
-    assert!(!buffer.cancel_unsent(3), "it has begun");
-    assert!(!buffer.cancel_unsent(4), "it has gone");
+    assert!(!buffer.cancel_unsent(3), "partly sent");
+    assert!(!buffer.cancel_unsent(4), "sent");
     assert!(buffer.cancel_unsent(1));
-    let mut got = vec![0; put * 300_000 + 1];
-    there.read_exact(&mut got).unwrap();
-    assert_eq!(got.iter().filter(|b| **b == b'b').count(), 0);
-    assert_eq!(got.last(), Some(&b'c'));
+    let mut received = vec![0; sent * 300_000 + 1];
+    remote.read_exact(&mut received).unwrap();
+    assert_eq!(received.iter().filter(|b| **b == b'b').count(), 0);
+    assert_eq!(received.last(), Some(&b'c'));
 }
 
-/// Danger: behind bytes that nobody reads an orderly end is not seen, and whoever left seems to wait.
+/// If unread bytes hid an orderly close, a client that disconnected would look as if it still waited.
 #[test]
-fn an_end_behind_unread_bytes_is_told_whatever_a_socket_is_watched_for() {
-    for want in [Interest::Hangup, Interest::Readable] {
-        let (buffer, there) = pair();
+fn a_close_after_unread_bytes_is_reported_for_every_interest() {
+    for interest in [Interest::Hangup, Interest::Readable] {
+        let (buffer, remote) = connected_pair();
         let poller = Poller::new().unwrap();
-        poller.add(buffer.stream(), 7, want).unwrap();
+        poller.add(buffer.stream(), 7, interest).unwrap();
         let mut ready = Vec::new();
-        std::io::Write::write_all(&mut &there, b"unread").unwrap();
-        drop(there);
-        let end = Instant::now() + Duration::from_secs(10);
+        std::io::Write::write_all(&mut &remote, b"unread").unwrap();
+        drop(remote);
+        let deadline = Instant::now() + Duration::from_secs(10);
         while !ready.iter().any(|r: &pearfork_net::Readiness| r.token == 7 && r.peer_closed) {
-            assert!(Instant::now() < end, "{want:?}: the end is not told");
-            poller.wait(&mut ready, Some(end)).unwrap();
+            assert!(Instant::now() < deadline, "{interest:?}: the close is not reported");
+            poller.wait(&mut ready, Some(deadline)).unwrap();
         }
         assert_eq!(buffer.peek(), PeekResult::Data);
     }
