--- a/crates/scsi/src/cdb.rs
+++ b/crates/scsi/src/cdb.rs
@@ -1,17 +1,18 @@
-//! Command descriptor blocks: parsed once, checked, never looked at again.
+//! Command descriptor blocks (CDBs): parsing and validation.
 
 use crate::sense::Sense;
 
-/// What is done with blocks of the medium.
+/// The operation of a command that accesses the medium.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MediaOp {
     /// READ.
     Read,
     /// WRITE.
     Write,
-    /// VERIFY; with the data to compare against, or of the medium alone.
+    /// VERIFY.
     Verify {
-        /// BYTCHK 01b: the initiator sends what the blocks should hold.
+        /// BYTCHK is 01b: the initiator sends data that the blocks are compared with. Otherwise only the
+        /// medium is verified.
         compare: bool,
     },
     /// SYNCHRONIZE CACHE.
@@ -20,23 +21,23 @@
     CompareAndWrite,
 }
 
-/// A command that touches the medium.
+/// A command that accesses the medium.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MediaCommand {
-    /// What is done.
+    /// The operation.
     pub op: MediaOp,
-    /// First logical block.
+    /// The first logical block.
     pub lba: u64,
-    /// How many.
+    /// The number of blocks.
     pub blocks: u32,
-    /// Force unit access: past all caches.
+    /// Force unit access: bypass volatile caches.
     pub fua: bool,
-    /// GROUP NUMBER of the CDB.
+    /// The GROUP NUMBER field of the CDB.
     pub group: u8,
 }
 
 impl MediaCommand {
-    /// Bytes that the initiator sends.
+    /// Number of bytes that the initiator sends.
     pub fn data_out_length(&self, block_len: u32) -> u64 {
         let blocks = match self.op {
             MediaOp::Write | MediaOp::Verify { compare: true } => u64::from(self.blocks),
@@ -46,7 +47,7 @@
         blocks * u64::from(block_len)
     }
 
-    /// Bytes that the initiator receives.
+    /// Number of bytes that the initiator receives.
     pub fn data_in_length(&self, block_len: u32) -> u64 {
         if self.op == MediaOp::Read {
             u64::from(self.blocks) * u64::from(block_len)
@@ -55,17 +56,17 @@
         }
     }
 
-    /// Bytes that move either way.
+    /// Number of bytes transferred, in either direction.
     pub fn transfer_length(&self, block_len: u32) -> u64 {
         self.data_in_length(block_len).max(self.data_out_length(block_len))
     }
 
-    /// Whether the blocks may be changed.
+    /// Whether the command may change the blocks.
     pub fn is_write(&self) -> bool {
         matches!(self.op, MediaOp::Write | MediaOp::CompareAndWrite)
     }
 
-    /// The CDB, of 16 bytes.
+    /// Encodes the command as a 16-byte CDB.
     pub fn to_cdb(&self) -> [u8; 16] {
         let mut c = [0; 16];
         let (opcode, flags) = match self.op {
@@ -87,57 +88,57 @@
     }
 }
 
-/// A command as this device knows it.
+/// A validated command that this device supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cdb {
     /// TEST UNIT READY.
     TestUnitReady,
-    /// REQUEST SENSE, in descriptor format or fixed.
+    /// REQUEST SENSE.
     RequestSense {
-        /// Descriptor format is wanted.
+        /// Descriptor format is requested, not fixed format.
         descriptor_format: bool,
-        /// Bytes that the initiator has room for.
+        /// Maximum number of bytes that the initiator accepts.
         allocation_length: u32,
     },
-    /// INQUIRY, of a vital product data page or the standard data.
+    /// INQUIRY, for standard data or a vital product data page.
     Inquiry {
-        /// The page, where one is asked for.
+        /// The vital product data page; `None` for standard data.
         page: Option<u8>,
-        /// Room.
+        /// Maximum number of bytes that the initiator accepts.
         allocation_length: u32,
     },
-    /// MODE SENSE.
+    /// MODE SENSE (6) or MODE SENSE (10).
     ModeSense {
-        /// The command of 10 bytes.
+        /// Whether it is the 10-byte command.
         is_ten_byte: bool,
-        /// No block descriptors.
+        /// DBD: no block descriptors are returned.
         disable_block_descriptors: bool,
-        /// Current, changeable, default or saved values.
+        /// PC: 0 current, 1 changeable, 2 default, 3 saved values.
         page_control: u8,
-        /// Page code.
+        /// The page code.
         page: u8,
-        /// Subpage code.
+        /// The subpage code.
         subpage: u8,
-        /// Room.
+        /// Maximum number of bytes that the initiator accepts.
         allocation_length: u32,
     },
     /// START STOP UNIT.
     StartStop,
     /// REPORT LUNS.
     ReportLuns {
-        /// SELECT REPORT.
+        /// The SELECT REPORT field.
         select_report: u8,
-        /// Room.
+        /// Maximum number of bytes that the initiator accepts.
         allocation_length: u32,
     },
     /// READ CAPACITY (10).
     ReadCapacity10,
     /// READ CAPACITY (16).
     ReadCapacity16 {
-        /// Room.
+        /// Maximum number of bytes that the initiator accepts.
         allocation_length: u32,
     },
-    /// A command on blocks.
+    /// A command that accesses the medium.
     Media(MediaCommand),
 }
 
@@ -154,12 +155,12 @@
 }
 
 impl Cdb {
-    /// Reads a CDB.
+    /// Parses and validates a CDB.
     ///
     /// # Errors
-    /// The sense data that answers a command which is unknown or asks for what is not there.
+    /// The sense data to respond with if the command or one of its options is not supported.
     pub fn parse(c: &[u8; 16]) -> Result<Cdb, Sense> {
-        let control = match c[0] >> 5 {
+        let control_byte = match c[0] >> 5 {
             0 => 5,
             1 | 2 => 9,
             4 => 15,
@@ -167,15 +168,15 @@
             _ => return Err(Sense::INVALID_OPCODE),
         };
         let parsed = Self::parse_body(c)?;
-        // NACA asks for a behaviour (ACA) that standard INQUIRY data says is not there.
-        if c[control] & 0x04 != 0 {
-            return Err(Sense::invalid_field(control as u16));
+        // NACA requests auto contingent allegiance, which the standard INQUIRY data reports as not supported.
+        if c[control_byte] & 0x04 != 0 {
+            return Err(Sense::invalid_field(control_byte as u16));
         }
         Ok(parsed)
     }
 
     fn parse_body(c: &[u8; 16]) -> Result<Cdb, Sense> {
-        // RDPROTECT, WRPROTECT, VRPROTECT: no protection information is kept.
+        // RDPROTECT, WRPROTECT and VRPROTECT must be 0: protection information is not supported.
         let unprotected = |cdb: Cdb| if c[1] & 0xe0 == 0 { Ok(cdb) } else { Err(Sense::invalid_field(1)) };
         let fua = c[1] & 0x08 != 0;
         let media = |op, lba, blocks, group| Cdb::Media(MediaCommand { op, lba, blocks, fua, group });
@@ -184,7 +185,7 @@
             1 => Ok(media(MediaOp::Verify { compare: true }, lba, blocks, group)),
             _ => Err(Sense::invalid_field(1)),
         };
-        let (g10, g12, g16) = (c[6] & 0x3f, c[10] & 0x3f, c[14] & 0x3f);
+        let (group10, group12, group16) = (c[6] & 0x3f, c[10] & 0x3f, c[14] & 0x3f);
         match c[0] {
             0x00 => Ok(Cdb::TestUnitReady),
             0x03 => {
@@ -192,7 +193,7 @@
             }
             0x08 | 0x0a => {
                 let lba = u64::from(be32(c, 0) & 0x1f_ffff);
-                // Length 0 means 256 blocks in the commands of 6 bytes (SBC-3, section 5.7).
+                // A transfer length of 0 means 256 blocks in 6-byte commands (SBC-3, section 5.7).
                 let blocks = if c[4] == 0 { 256 } else { u32::from(c[4]) };
                 let op = if c[0] == 0x08 { MediaOp::Read } else { MediaOp::Write };
                 Ok(Cdb::Media(MediaCommand { op, lba, blocks, fua: false, group: 0 }))
@@ -215,21 +216,21 @@
                 (0, 0) => Ok(Cdb::ReadCapacity10),
                 _ => Err(Sense::invalid_field(2)),
             },
-            0x28 => unprotected(media(MediaOp::Read, u64::from(be32(c, 2)), be16(c, 7), g10)),
-            0x2a => unprotected(media(MediaOp::Write, u64::from(be32(c, 2)), be16(c, 7), g10)),
-            0x2f => unprotected(verify(u64::from(be32(c, 2)), be16(c, 7), g10)?),
-            0x35 => Ok(media(MediaOp::Flush, u64::from(be32(c, 2)), be16(c, 7), g10)),
-            0x88 => unprotected(media(MediaOp::Read, be64(c, 2), be32(c, 10), g16)),
-            0x89 => unprotected(media(MediaOp::CompareAndWrite, be64(c, 2), u32::from(c[13]), g16)),
-            0x8a => unprotected(media(MediaOp::Write, be64(c, 2), be32(c, 10), g16)),
-            0x8f => unprotected(verify(be64(c, 2), be32(c, 10), g16)?),
-            0x91 => Ok(media(MediaOp::Flush, be64(c, 2), be32(c, 10), g16)),
+            0x28 => unprotected(media(MediaOp::Read, u64::from(be32(c, 2)), be16(c, 7), group10)),
+            0x2a => unprotected(media(MediaOp::Write, u64::from(be32(c, 2)), be16(c, 7), group10)),
+            0x2f => unprotected(verify(u64::from(be32(c, 2)), be16(c, 7), group10)?),
+            0x35 => Ok(media(MediaOp::Flush, u64::from(be32(c, 2)), be16(c, 7), group10)),
+            0x88 => unprotected(media(MediaOp::Read, be64(c, 2), be32(c, 10), group16)),
+            0x89 => unprotected(media(MediaOp::CompareAndWrite, be64(c, 2), u32::from(c[13]), group16)),
+            0x8a => unprotected(media(MediaOp::Write, be64(c, 2), be32(c, 10), group16)),
+            0x8f => unprotected(verify(be64(c, 2), be32(c, 10), group16)?),
+            0x91 => Ok(media(MediaOp::Flush, be64(c, 2), be32(c, 10), group16)),
             0x9e if c[1] & 0x1f == 0x10 => Ok(Cdb::ReadCapacity16 { allocation_length: be32(c, 10) }),
             0x9e => Err(Sense::invalid_field(1)),
             0xa0 => Ok(Cdb::ReportLuns { select_report: c[2], allocation_length: be32(c, 6) }),
-            0xa8 => unprotected(media(MediaOp::Read, u64::from(be32(c, 2)), be32(c, 6), g12)),
-            0xaa => unprotected(media(MediaOp::Write, u64::from(be32(c, 2)), be32(c, 6), g12)),
-            0xaf => unprotected(verify(u64::from(be32(c, 2)), be32(c, 6), g12)?),
+            0xa8 => unprotected(media(MediaOp::Read, u64::from(be32(c, 2)), be32(c, 6), group12)),
+            0xaa => unprotected(media(MediaOp::Write, u64::from(be32(c, 2)), be32(c, 6), group12)),
+            0xaf => unprotected(verify(u64::from(be32(c, 2)), be32(c, 6), group12)?),
             _ => Err(Sense::INVALID_OPCODE),
         }
     }
@@ -242,7 +243,7 @@
     use proptest::test_runner::RngSeed;
 
     #[test]
-    fn a_six_byte_read_of_length_zero_is_256_blocks() {
+    fn a_transfer_length_of_zero_in_a_six_byte_read_means_256_blocks() {
         let mut c = [0u8; 16];
         c[..6].copy_from_slice(&[0x08, 0xff, 0x12, 0x34, 0, 0]);
         let Ok(Cdb::Media(m)) = Cdb::parse(&c) else { panic!() };
@@ -250,7 +251,7 @@
     }
 
     #[test]
-    fn protection_naca_and_unknown_codes_are_refused_by_field() {
+    fn protection_naca_and_unknown_opcodes_are_rejected_with_their_sense() {
         let mut c = MediaCommand { op: MediaOp::Read, lba: 1, blocks: 1, fua: false, group: 0 }.to_cdb();
         c[1] |= 0x20;
         assert_eq!(Cdb::parse(&c), Err(Sense::invalid_field(1)));
@@ -262,12 +263,12 @@
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(512) })]
         #[test]
-        fn any_bytes_are_a_command_or_sense(c in any::<[u8; 16]>()) {
+        fn parsing_never_panics(c in any::<[u8; 16]>()) {
             let _ = Cdb::parse(&c);
         }
 
         #[test]
-        fn what_is_written_is_read_back(lba in any::<u64>(), blocks in 0u32..256, op in 0usize..6, fua: bool) {
+        fn an_encoded_command_parses_to_itself(lba in any::<u64>(), blocks in 0u32..256, op in 0usize..6, fua: bool) {
             let op = [MediaOp::Read, MediaOp::Write, MediaOp::Verify { compare: false },
                 MediaOp::Verify { compare: true }, MediaOp::Flush, MediaOp::CompareAndWrite][op];
             let fua = fua && matches!(op, MediaOp::Read | MediaOp::Write | MediaOp::CompareAndWrite);
--- a/crates/scsi/src/lib.rs
+++ b/crates/scsi/src/lib.rs
@@ -1,8 +1,9 @@
 //! SCSI commands of a block device, without I/O: SAM-5 for status, SPC-4 for the primary commands, SBC-3 for
 //! those of a disk.
 //!
-//! [`Cdb::parse`] turns a CDB into a checked value or the [`Sense`] that answers it; [`LogicalUnit::respond`] answers all
-//! commands that need no medium; what remains is a [`MediaCommand`] operation whose blocks are known to exist.
+//! [`Cdb::parse`] turns a CDB into a validated command or the [`Sense`] data to respond with.
+//! [`LogicalUnit::respond`] handles all commands that need no medium access; what remains is a
+//! [`MediaCommand`] whose blocks are known to exist.
 
 mod cdb;
 mod sense;
@@ -23,7 +24,8 @@
     pub const TASK_ABORTED: u8 = 0x40;
 }
 
-/// The LUN field of a unit below 256, or below 16384 by the flat method (SAM-5, section 4.7.7).
+/// Encodes a unit number below 16384 as a LUN field: below 256 with peripheral device addressing, otherwise
+/// with flat space addressing (SAM-5, section 4.7.7).
 pub fn encode_lun(unit: u16) -> u64 {
     if unit < 256 {
         u64::from(unit) << 48
@@ -32,15 +34,15 @@
     }
 }
 
-/// The unit that a LUN field names; `None` for methods and levels that are not used here.
+/// The unit number in a LUN field; `None` for addressing methods and levels that this device does not use.
 pub fn decode_lun(lun: u64) -> Option<u16> {
-    let first = (lun >> 48) as u16;
+    let first_level = (lun >> 48) as u16;
     if lun << 16 != 0 {
         return None;
     }
-    match first >> 14 {
-        0 if first < 256 => Some(first),
-        1 => Some(first & 0x3fff),
+    match first_level >> 14 {
+        0 if first_level < 256 => Some(first_level),
+        1 => Some(first_level & 0x3fff),
         _ => None,
     }
 }
--- a/crates/scsi/src/sense.rs
+++ b/crates/scsi/src/sense.rs
@@ -20,11 +20,11 @@
 pub struct Sense {
     /// Sense key.
     pub key: SenseKey,
-    /// Additional sense code and its qualifier.
+    /// Additional sense code (high byte) and its qualifier (low byte).
     pub asc: u16,
     /// Information field: for a miscompare the offset of the first differing byte.
     pub information: Option<u32>,
-    /// Byte of the CDB at fault, for an invalid field.
+    /// For an invalid field in the CDB, the index of the invalid byte.
     pub field_pointer: Option<u16>,
 }
 
@@ -38,24 +38,24 @@
     pub const RESET: Sense = Sense::new(SenseKey::UnitAttention, 0x2900);
     pub const WRITE_ERROR: Sense = Sense::new(SenseKey::MediumError, 0x0c00);
     pub const READ_ERROR: Sense = Sense::new(SenseKey::MediumError, 0x1100);
-    /// Aborted, with nothing promised about the effect.
+    /// The command was aborted; it may or may not have taken effect.
     pub const ABORTED: Sense = Sense::new(SenseKey::AbortedCommand, 0x0000);
 
     const fn new(key: SenseKey, asc: u16) -> Sense {
         Sense { key, asc, information: None, field_pointer: None }
     }
 
-    /// An invalid field in the CDB, with the byte at fault.
+    /// Sense data for an invalid byte of the CDB.
     pub fn invalid_field(byte: u16) -> Sense {
         Sense { field_pointer: Some(byte), ..Sense::INVALID_FIELD }
     }
 
-    /// A miscompare at an offset in the data (SBC-3, section 5.2).
+    /// Sense data for a miscompare at a byte offset in the data (SBC-3, section 5.2).
     pub fn miscompare(offset: u32) -> Sense {
         Sense { information: Some(offset), ..Sense::new(SenseKey::Miscompare, 0x1d00) }
     }
 
-    /// Fixed format, current error (SPC-4, section 4.5.3).
+    /// Encodes the sense data in fixed format, as a current error (SPC-4, section 4.5.3).
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut b = vec![0; 18];
         b[0] = 0x70 | if self.information.is_some() { 0x80 } else { 0 };
@@ -64,14 +64,15 @@
         b[7] = 10;
         b[12..14].copy_from_slice(&self.asc.to_be_bytes());
         if let Some(field) = self.field_pointer {
-            // Sense key specific: field pointer into the CDB (section 4.5.2.4.2).
+            // Sense-key specific data: a field pointer into the CDB (section 4.5.2.4.2).
             b[15] = 0xc0;
             b[16..18].copy_from_slice(&field.to_be_bytes());
         }
         b
     }
 
-    /// Key and code of sense data in either format; `None` for what is neither.
+    /// Reads the sense key and the additional sense code of sense data in fixed or descriptor format; `None`
+    /// for other formats.
     pub fn key_and_code(bytes: &[u8]) -> Option<(u8, u16)> {
         match bytes.first()? & 0x7f {
             0x70 | 0x71 => {
