--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -128,6 +128,7 @@
     tasks: BTreeMap<u32, Task>,
     /// Task management functions without a response: their own tag and that of the task to abort, or 0.
     aborts: BTreeMap<u32, u32>,
+    /// Text of the current Text response, which may span several PDUs.
     text_in: Vec<u8>,
 }
 
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -128,9 +128,10 @@
     text: Vec<u8>,
     /// Bytes of text received during the login.
     text_total: usize,
+    /// Keys received during the login, to reject duplicates.
     keys_seen: Vec<String>,
     /// This end has declared its MaxRecvDataSegmentLength.
-    declared: bool,
+    max_data_declared: bool,
 }
 
 /// The result of a login request.
@@ -173,31 +174,31 @@
     ) -> Result<LoginStep, (LoginStatus, String)> {
         let fail = |status, reason: &str| Err((status, reason.to_owned()));
         let (transit, continues) = (pdu.is_final(), pdu.bhs[1] & 0x40 != 0);
-        let (csg, nsg) = (pdu.bhs[1] >> 2 & 3, pdu.bhs[1] & 3);
+        let (current_stage, next_stage) = (pdu.bhs[1] >> 2 & 3, pdu.bhs[1] & 3);
         if pdu.bhs[3] != 0 {
             return fail(LoginStatus::VERSION, "unsupported Version-min, must be 0");
         }
         if !self.first_received {
             self.first_received = true;
             self.isid.copy_from_slice(&pdu.bhs[8..14]);
-            self.stage = csg;
+            self.stage = current_stage;
             if pdu.u16(14) != 0 {
                 return fail(LoginStatus::NO_SESSION, "TSIH is not 0; only new sessions are accepted");
             }
         } else if pdu.bhs[8..14] != self.isid {
             return fail(LoginStatus::INVALID_REQUEST, "ISID changed during login");
         }
-        if csg != self.stage || csg > OPERATIONAL {
+        if current_stage != self.stage || current_stage > OPERATIONAL {
             return fail(LoginStatus::INVALID_REQUEST, "current stage out of order");
         }
-        if transit && (continues || nsg <= csg || nsg == 2) {
+        if transit && (continues || next_stage <= current_stage || next_stage == 2) {
             return fail(LoginStatus::INVALID_REQUEST, "invalid transit to the next stage");
         }
         self.text_total += pdu.data.len();
         if self.text_total > MAX_TEXT {
             return fail(LoginStatus::INITIATOR_ERROR, &TextError::TooLong(MAX_TEXT).to_string());
         }
-        pdu.data.chunks().iter().for_each(|p| self.text.extend_from_slice(p));
+        pdu.data.chunks().iter().for_each(|c| self.text.extend_from_slice(c));
         let mut response = self.response(pdu);
         if continues {
             return Ok(LoginStep::Continue(response));
@@ -213,16 +214,16 @@
             self.negotiate_key(key, value, access, &mut out)?;
         }
         self.check_names(access, &mut out)?;
-        if csg == OPERATIONAL && !self.declared {
-            self.declared = true;
+        if current_stage == OPERATIONAL && !self.max_data_declared {
+            self.max_data_declared = true;
             put(&mut out, "MaxRecvDataSegmentLength", &OWN_MAX_DATA.to_string());
             self.params.own_max_data = OWN_MAX_DATA;
         }
         response.data = out.into();
         if transit {
-            response.bhs[1] |= 0x80 | nsg;
-            self.stage = nsg;
-            if nsg == FULL_FEATURE {
+            response.bhs[1] |= 0x80 | next_stage;
+            self.stage = next_stage;
+            if next_stage == FULL_FEATURE {
                 response.set_u16(14, tsih);
                 return Ok(LoginStep::Complete(response));
             }
@@ -236,6 +237,7 @@
         access: &dyn AccessControl,
         out: &mut Vec<u8>,
     ) -> Result<(), (LoginStatus, String)> {
+        // Marks that the names were checked; a key never contains NUL, so none can equal this entry.
         if self.keys_seen.iter().any(|k| k == "\0identified") {
             return Ok(());
         }
@@ -378,8 +380,8 @@
 }
 
 /// Byte 1 of a login request with the T (transit) bit, the current stage and the next stage.
-pub(crate) fn login_flags(csg: u8, nsg: u8) -> u8 {
-    0x80 | csg << 2 | nsg
+pub(crate) fn login_flags(current_stage: u8, next_stage: u8) -> u8 {
+    0x80 | current_stage << 2 | next_stage
 }
 
 /// The codes of the security stage, the operational stage and the full feature phase.
--- a/crates/iscsi/src/node_extension.rs
+++ b/crates/iscsi/src/node_extension.rs
@@ -18,7 +18,7 @@
 /// of a rack can recognize and drop a write that was already applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IdempotencyKey {
-    /// The host's number in the fleet.
+    /// The host's number, unique among all hosts.
     pub host: u16,
     /// When the host process started, in seconds of Unix time, so that a restarted host does not reuse keys.
     pub host_start_s: u32,
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -118,6 +118,7 @@
     expects_unsolicited: bool,
     /// Target transfer tag and end offset of the outstanding R2T.
     r2t: Option<(u32, usize)>,
+    /// The R2TSN of the next R2T.
     r2t_sn: u32,
     /// The next expected DataSN.
     data_sn: u32,
@@ -140,14 +141,18 @@
     params: Params,
     decoder: Decoder,
     encoder: Encoder,
+    /// The initiator's name.
     initiator: String,
+    /// Whether this is a discovery session.
     discovery: bool,
     stat_sn: u32,
     exp_cmd_sn: u32,
     max_cmd_sn: u32,
     tasks: BTreeMap<u32, Task>,
     next_transfer_tag: u32,
+    /// Text of the current Text request, which may span several PDUs.
     text_in: Vec<u8>,
+    /// The part of the Text response that was not sent yet.
     text_out: Bytes,
 }
 
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -57,7 +57,9 @@
 
 struct State<T> {
     initiator: Initiator,
+    /// Commands without a response, by initiator task tag.
     sent: BTreeMap<u32, T>,
+    /// Commands that wait for the command window.
     queued: VecDeque<(T, Command)>,
     open: bool,
 }
@@ -65,6 +67,7 @@
 /// An iSCSI session with a single connection.
 pub struct Connection<T> {
     state: Mutex<State<T>>,
+    /// Wakes the writer thread.
     wake: Sender<()>,
     stream: TcpStream,
     tsih: u16,
@@ -247,9 +250,9 @@
                 let result = state.initiator.process(&mut session_events);
                 for event in session_events {
                     match event {
-                        InitiatorEvent::Completed(done) => {
-                            if let Some(token) = state.sent.remove(&done.itt) {
-                                events.push(ConnectionEvent::Completed(token, done));
+                        InitiatorEvent::Completed(completion) => {
+                            if let Some(token) = state.sent.remove(&completion.itt) {
+                                events.push(ConnectionEvent::Completed(token, completion));
                             }
                         }
                         InitiatorEvent::Aborted(itt, _) => {
--- a/crates/net/src/portal.rs
+++ b/crates/net/src/portal.rs
@@ -65,6 +65,7 @@
     target: Mutex<Target>,
     /// Notified when output was taken for writing, and when the session is closed.
     output_taken: Condvar,
+    /// Wakes the writer thread.
     wake: Sender<()>,
     stream: TcpStream,
     /// The handler has been notified that the session is over.
