--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -422,7 +422,7 @@
             // The task was aborted in the meantime.
             return Ok(());
         };
-        // Data that is out of sequence must never be passed on to a client.
+        // Data from a node that has lost track of its sequence must never be passed on to a client.
         if pdu.u32(36) != task.data_sn || pdu.u32(40) as usize != task.received.len() {
             return Err(InitiatorError::Protocol("Data-In out of order".to_owned()));
         }
