--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -1,180 +1,189 @@
-//! Views that several hosts have of their fleet, beside each other, with what does not go together.
+//! Compares the views that several hosts have of their fleet and reports where they contradict each other.
 
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is to be known.
+/// What to show of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Topic {
-    /// Who is in the fleet.
+    /// The members of the fleet.
     Members,
-    /// What is lent of each budget.
+    /// The fraction of each budget that each host may use.
     Budgets,
-    /// Why each host has what it has of a volume's limit.
+    /// The reason for the fraction of a volume's limit that each host may use.
     Why(String),
 }
 
-/// What is seen.
+/// The views of several hosts side by side.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Seen {
-    /// Rows of the same keys.
+pub struct FleetComparison {
+    /// Table rows, all with the same keys.
     pub rows: Vec<Value>,
-    /// Sentences.
-    pub words: Vec<String>,
-    /// What does not go together.
-    pub disagree: Vec<String>,
+    /// Explanations in sentences.
+    #[serde(rename = "words")]
+    pub sentences: Vec<String>,
+    /// Contradictions between the views.
+    #[serde(rename = "disagree")]
+    pub disagreements: Vec<String>,
 }
 
-/// More than rounding.
-const APART: f64 = 1e-6;
+/// Differences between fractions up to this are rounding errors.
+const FRACTION_TOLERANCE: f64 = 1e-6;
 
-fn number(v: &Value, key: &str) -> Option<f64> {
+fn number_field(v: &Value, key: &str) -> Option<f64> {
     v.get(key).and_then(Value::as_f64)
 }
 
-fn host(v: &Value) -> u64 {
+fn host_number(v: &Value) -> u64 {
     v.get("host").and_then(Value::as_u64).unwrap_or(u64::MAX)
 }
 
-fn list<'a>(v: &'a Value, key: &str) -> &'a [Value] {
+fn array_field<'a>(v: &'a Value, key: &str) -> &'a [Value] {
     v.get(key).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
-fn percent(part: f64) -> String {
+fn format_percent(part: f64) -> String {
     format!("{:.2} %", part * 100.0)
 }
 
-/// Lays views beside each other.
-pub fn look(views: &[Value], topic: &Topic) -> Seen {
-    let mut seen = Seen::default();
+/// Compares the views of several hosts.
+pub fn compare(views: &[Value], topic: &Topic) -> FleetComparison {
+    let mut comparison = FleetComparison::default();
     let settings: BTreeSet<&str> =
         views.iter().filter_map(|v| v.get("settings").and_then(Value::as_str)).collect();
     if settings.len() > 1 {
-        seen.disagree.push(format!("hosts run by different settings of the fleet: {settings:?}"));
+        comparison.disagreements.push(format!("hosts have different fleet settings: {settings:?}"));
     }
     let leaders: BTreeSet<u64> =
-        views.iter().filter(|v| v["voter"]["lends"] == json!(true)).map(host).collect();
+        views.iter().filter(|v| v["voter"]["lends"] == json!(true)).map(host_number).collect();
     if leaders.len() > 1 {
-        // The older of two steps down as soon as it hears of the other, and lends nothing meanwhile.
-        seen.disagree.push(format!("hosts {leaders:?} each say that they lend"));
+        // The older of two leaders steps down as soon as it learns of the newer term, and grants nothing
+        // meanwhile.
+        comparison.disagreements.push(format!("hosts {leaders:?} each report that they are the leader"));
     }
     match topic {
-        Topic::Members => members(views, &mut seen),
-        Topic::Budgets => budgets(views, &mut seen),
-        Topic::Why(volume) => why(views, volume, &mut seen),
+        Topic::Members => list_members(views, &mut comparison),
+        Topic::Budgets => list_budgets(views, &mut comparison),
+        Topic::Why(volume) => explain_limit(views, volume, &mut comparison),
     }
-    seen
+    comparison
 }
 
-/// The view of the voter that lends, or of the one that knows most.
-fn book(views: &[Value]) -> Option<&Value> {
+/// The allocations as seen by the leader, or by the voter with the highest commit index.
+fn allocation_view(views: &[Value]) -> Option<&Value> {
     let voters = views.iter().map(|v| &v["voter"]).filter(|v| v.is_object());
     voters.max_by_key(|v| (v["lends"] == json!(true), v["commit"].as_u64()))
 }
 
-fn members(views: &[Value], seen: &mut Seen) {
-    let mut all: BTreeMap<u64, (u64, Vec<u64>)> = BTreeMap::new();
+fn list_members(views: &[Value], comparison: &mut FleetComparison) {
+    let mut members: BTreeMap<u64, (u64, Vec<u64>)> = BTreeMap::new();
     for view in views.iter().filter(|v| v["voter"].is_object()) {
-        for m in list(&view["voter"], "members") {
+        for m in array_field(&view["voter"], "members") {
             let incarnation = m["incarnation"].as_u64().unwrap_or(0);
-            all.entry(incarnation).or_insert((host(m), Vec::new())).1.push(host(view));
+            members.entry(incarnation).or_insert((host_number(m), Vec::new())).1.push(host_number(view));
         }
     }
-    let own: BTreeMap<u64, &Value> = views.iter().map(|v| (host(v), v)).collect();
-    let lender = book(views);
-    for (incarnation, (of, by)) in &all {
-        let line = lender.and_then(|b| {
-            list(b, "members").iter().find(|m| m["incarnation"].as_u64() == Some(*incarnation))
+    let own: BTreeMap<u64, &Value> = views.iter().map(|v| (host_number(v), v)).collect();
+    let allocations = allocation_view(views);
+    for (incarnation, (host, reported_by)) in &members {
+        let line = allocations.and_then(|b| {
+            array_field(b, "members").iter().find(|m| m["incarnation"].as_u64() == Some(*incarnation))
         });
-        let ms = |key| line.and_then(|l| number(l, key)).map(|ms| format!("{:.1} s", ms / 1_000.0));
-        let view = own.get(of);
+        let ms = |key| line.and_then(|l| number_field(l, key)).map(|ms| format!("{:.1} s", ms / 1_000.0));
+        let view = own.get(host);
         let joined = view.and_then(|v| v["holder"]["incarnation"].as_u64());
-        seen.rows.push(json!({
-            "host": of, "incarnation": incarnation, "heard_ago": ms("heard_ms"), "over_in": ms("over_in_ms"),
-            "in_the_book_of": by, "says_itself": joined,
+        comparison.rows.push(json!({
+            "host": host, "incarnation": incarnation, "heard_ago": ms("heard_ms"), "over_in": ms("over_in_ms"),
+            "in_the_book_of": reported_by, "says_itself": joined,
         }));
     }
     for (host, view) in own {
         let holder = &view["holder"];
         if holder["superseded"] == json!(true) {
-            seen.disagree.push(format!("host {host}: another process has its number"));
+            comparison.disagreements.push(format!("host {host}: another process has joined with its number"));
         }
-        for link in list(view, "links") {
+        for link in array_field(view, "links") {
             if let Some(why) = link["refused"].as_str() {
-                seen.disagree.push(format!("host {host} and voter {}: {why}", link["voter"]));
+                comparison
+                    .disagreements
+                    .push(format!("host {host}, connection to voter {}: {why}", link["voter"]));
             }
         }
         if let Some(trouble) = view["voter"]["trouble"].as_str() {
-            seen.disagree.push(format!("host {host} does not vote: {trouble}"));
+            comparison.disagreements.push(format!("host {host} does not vote: {trouble}"));
         }
     }
 }
 
-/// For each budget: what each host says that it uses, lent and floor.
-fn budgets(views: &[Value], seen: &mut Seen) {
-    let lender = book(views);
+/// Lists for each budget what each host may use, floor and lent fraction together.
+fn list_budgets(views: &[Value], comparison: &mut FleetComparison) {
+    let allocations = allocation_view(views);
     let mut names: BTreeSet<&str> = BTreeSet::new();
     for view in views {
-        names.extend(list(&view["holder"], "budgets").iter().filter_map(|b| b["budget"].as_str()));
+        names.extend(array_field(&view["holder"], "budgets").iter().filter_map(|b| b["budget"].as_str()));
     }
     for name in names {
-        let line =
-            lender.and_then(|b| list(b, "budgets").iter().find(|l| l["budget"].as_str() == Some(name)));
-        let mut all = 0.0;
+        let line = allocations
+            .and_then(|b| array_field(b, "budgets").iter().find(|l| l["budget"].as_str() == Some(name)));
+        let mut total = 0.0;
         for view in views {
-            let own = list(&view["holder"], "budgets").iter().find(|l| l["budget"].as_str() == Some(name));
+            let own =
+                array_field(&view["holder"], "budgets").iter().find(|l| l["budget"].as_str() == Some(name));
             let Some(own) = own else { continue };
-            let part = |key| number(own, key).unwrap_or(0.0);
-            let in_book = line.and_then(|l| number(&l["to"], &host(view).to_string()));
-            all += part("floor") + part("lent");
-            // The views are not of one moment: what was lent between two of them shows as well.
-            if part("lent") > in_book.unwrap_or(0.0) + APART && line.is_some() {
-                seen.disagree.push(format!(
-                    "{name}: host {} uses {} that it says is lent, the book has {}",
-                    host(view),
-                    percent(part("lent")),
-                    percent(in_book.unwrap_or(0.0))
+            let part = |key| number_field(own, key).unwrap_or(0.0);
+            let allocated = line.and_then(|l| number_field(&l["to"], &host_number(view).to_string()));
+            total += part("floor") + part("lent");
+            // The views are taken one after the other, so a grant between two of them is reported as well.
+            if part("lent") > allocated.unwrap_or(0.0) + FRACTION_TOLERANCE && line.is_some() {
+                comparison.disagreements.push(format!(
+                    "{name}: host {} reports a lent fraction of {}, the lease table has {}",
+                    host_number(view),
+                    format_percent(part("lent")),
+                    format_percent(allocated.unwrap_or(0.0))
                 ));
             }
-            seen.rows.push(json!({
-                "budget": name, "host": host(view), "may_use": percent(part("floor") + part("lent")),
-                "in_the_book": in_book.map(percent), "clients_ask": percent(part("demand")),
+            comparison.rows.push(json!({
+                "budget": name, "host": host_number(view), "may_use": format_percent(part("floor") + part("lent")),
+                "in_the_book": allocated.map(format_percent), "clients_ask": format_percent(part("demand")),
             }));
         }
-        if all > 1.0 + APART {
-            seen.disagree.push(format!("{name}: hosts say that they use {} of it", percent(all)));
+        if total > 1.0 + FRACTION_TOLERANCE {
+            comparison
+                .disagreements
+                .push(format!("{name}: the hosts together report {} of it", format_percent(total)));
         }
-        let lent = line.and_then(|l| number(l, "lent"));
-        seen.words.push(format!(
-            "{name}: the hosts asked may use {} of it, {} is lent in the book",
-            percent(all),
-            lent.map_or("nobody knows how much".to_owned(), percent)
+        let lent = line.and_then(|l| number_field(l, "lent"));
+        comparison.sentences.push(format!(
+            "{name}: the queried hosts may use {} of it; lent according to the lease table: {}",
+            format_percent(total),
+            lent.map_or("unknown".to_owned(), format_percent)
         ));
     }
 }
 
-fn why(views: &[Value], volume: &str, seen: &mut Seen) {
+fn explain_limit(views: &[Value], volume: &str, comparison: &mut FleetComparison) {
     let name = format!("limit/{volume}");
-    let lender = book(views);
-    let mut known = false;
+    let allocations = allocation_view(views);
+    let mut is_known = false;
     for view in views {
         let holder = &view["holder"];
-        let Some(own) = list(holder, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str()))
+        let Some(own) =
+            array_field(holder, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str()))
         else {
             continue;
         };
-        known = true;
-        let part = |key| number(own, key).unwrap_or(0.0);
+        is_known = true;
+        let part = |key| number_field(own, key).unwrap_or(0.0);
         let (floor, lent, demand) = (part("floor"), part("lent"), part("demand"));
-        let left = number(holder, "lease_ms");
+        let left = number_field(holder, "lease_ms");
         let reason = if holder["superseded"] == json!(true) {
-            "another process has its number, and it uses none of it".to_owned()
+            "another process has joined with its number, so it uses none of it".to_owned()
         } else if let Some(ms) = left.filter(|ms| *ms > 0.0) {
             let wants = if demand == 0.0 && lent == 0.0 {
-                "; its clients ask for nothing, so nothing is lent to it".to_owned()
+                "; it has no demand, so nothing is lent to it".to_owned()
             } else if lent == 0.0 {
-                "; none is lent to it: others hold it, and give some back as they hear of this demand"
+                "; nothing is lent to it: other hosts hold it and return a part once this demand is known"
                     .to_owned()
             } else {
                 String::new()
@@ -182,41 +191,43 @@
             format!("its lease holds for {:.1} s{wants}", ms / 1_000.0)
         } else {
             let refused: Vec<&str> =
-                list(view, "links").iter().filter_map(|l| l["refused"].as_str()).collect();
-            let up = list(view, "links").iter().filter(|l| l["up"] == json!(true)).count();
+                array_field(view, "links").iter().filter_map(|l| l["refused"].as_str()).collect();
+            let up = array_field(view, "links").iter().filter(|l| l["up"] == json!(true)).count();
             match (refused.first(), up, left) {
-                (Some(why), ..) => format!("it is refused: {why}"),
-                (None, 0, _) => "it reaches no voter".to_owned(),
-                (None, _, None) => "no voter that leads has answered it yet".to_owned(),
+                (Some(why), ..) => format!("a voter refuses its connection: {why}"),
+                (None, 0, _) => "it is connected to no voter".to_owned(),
+                (None, _, None) => "it has not had a response from a leader yet".to_owned(),
                 (None, up, Some(_)) => {
-                    format!("its lease is over: {up} voters are reached, and none that leads has answered")
+                    format!("its lease has expired: connected to {up} voters, but no response from a leader")
                 }
             }
         };
-        seen.words.push(format!(
-            "host {}: {} of {name} (floor {}, lent {}), clients ask for {}; {reason}",
-            host(view),
-            percent(floor + lent),
-            percent(floor),
-            percent(lent),
-            percent(demand)
+        comparison.sentences.push(format!(
+            "host {}: {} of {name} (floor {}, lent {}), demand {}; {reason}",
+            host_number(view),
+            format_percent(floor + lent),
+            format_percent(floor),
+            format_percent(lent),
+            format_percent(demand)
         ));
     }
-    if let Some(line) =
-        lender.and_then(|b| list(b, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str())))
+    if let Some(line) = allocations
+        .and_then(|b| array_field(b, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str())))
     {
         let to: Vec<String> = line["to"]
             .as_object()
             .map(|m| {
-                m.iter().map(|(h, p)| format!("host {h} {}", percent(p.as_f64().unwrap_or(0.0)))).collect()
+                m.iter()
+                    .map(|(h, p)| format!("host {h} {}", format_percent(p.as_f64().unwrap_or(0.0))))
+                    .collect()
             })
             .unwrap_or_default();
-        seen.words.push(format!("the book: {}", to.join(", ")));
-    } else if known {
-        seen.words.push("no voter that was asked has anything of it in its book".to_owned());
+        comparison.sentences.push(format!("the lease table: {}", to.join(", ")));
+    } else if is_known {
+        comparison.sentences.push("no queried voter has an allocation of it".to_owned());
     }
-    if !known {
-        seen.words.push(format!("no host that was asked has a volume `{volume}` with a limit"));
+    if !is_known {
+        comparison.sentences.push(format!("no host that was queried has a volume `{volume}` with a limit"));
     }
 }
 
@@ -224,30 +235,31 @@
 mod tests {
     use super::*;
 
-    fn view(host: u64, lent: f64, in_book: f64) -> Value {
+    fn view(host: u64, lent: f64, allocated: f64) -> Value {
         json!({
             "fleet": "f", "settings": "s", "host": host,
             "holder": {"incarnation": host + 1, "lease_ms": 900.0, "superseded": false,
                        "budgets": [{"budget": "limit/archive", "floor": 0.01, "lent": lent, "demand": 0.5}]},
             "voter": {"trouble": null, "term": 3, "lends": host == 0, "commit": 7,
                       "members": [{"host": 0, "incarnation": 1, "heard_ms": 40.0, "over_in_ms": 2000.0}],
-                      "budgets": [{"budget": "limit/archive", "lent": in_book, "to": {"0": in_book}}]},
+                      "budgets": [{"budget": "limit/archive", "lent": allocated, "to": {"0": allocated}}]},
             "links": [],
         })
     }
 
     #[test]
-    fn views_are_laid_beside_each_other_and_what_can_not_be_is_marked() {
-        let fine = look(&[view(0, 0.4, 0.4), view(1, 0.0, 0.4)], &Topic::Budgets);
-        assert_eq!((fine.rows.len(), fine.disagree.len()), (2, 0), "{fine:?}");
-        let more = look(&[view(0, 0.6, 0.4)], &Topic::Budgets);
-        assert!(more.disagree[0].contains("60.00 %"), "{more:?}");
-        let both = look(&[view(0, 0.4, 0.4), view(0, 0.6, 0.4), view(0, 0.6, 0.4)], &Topic::Budgets);
-        assert!(both.disagree.iter().any(|d| d.contains("163.00 %")), "{both:?}");
-        let members = look(&[view(0, 0.4, 0.4)], &Topic::Members);
+    fn views_are_compared_and_contradictions_are_reported() {
+        let consistent = compare(&[view(0, 0.4, 0.4), view(1, 0.0, 0.4)], &Topic::Budgets);
+        assert_eq!((consistent.rows.len(), consistent.disagreements.len()), (2, 0), "{consistent:?}");
+        let excessive = compare(&[view(0, 0.6, 0.4)], &Topic::Budgets);
+        assert!(excessive.disagreements[0].contains("60.00 %"), "{excessive:?}");
+        let overcommitted =
+            compare(&[view(0, 0.4, 0.4), view(0, 0.6, 0.4), view(0, 0.6, 0.4)], &Topic::Budgets);
+        assert!(overcommitted.disagreements.iter().any(|d| d.contains("163.00 %")), "{overcommitted:?}");
+        let members = compare(&[view(0, 0.4, 0.4)], &Topic::Members);
         assert_eq!(members.rows[0]["heard_ago"], json!("0.0 s"));
-        let why = look(&[view(0, 0.4, 0.4)], &Topic::Why("archive".to_owned()));
-        assert!(why.words[0].contains("lease holds for 0.9 s"), "{why:?}");
-        assert!(look(&[], &Topic::Why("none".to_owned())).words[0].contains("no host"));
+        let why = compare(&[view(0, 0.4, 0.4)], &Topic::Why("archive".to_owned()));
+        assert!(why.sentences[0].contains("lease holds for 0.9 s"), "{why:?}");
+        assert!(compare(&[], &Topic::Why("none".to_owned())).sentences[0].contains("no host"));
     }
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! Asks running hosts how they are, or to drain, over their HTTP; and lays the answers out. [`table`] and [`fleet`] do no I/O.
+//! Queries running hosts over HTTP, asks them to drain, and formats their responses. [`table`] and [`fleet`]
+//! do no I/O.
 
 pub mod fleet;
 pub mod table;
@@ -8,91 +9,95 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What can be asked.
+/// A request to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Question {
-    /// Whether it has a node to send to.
+pub enum Query {
+    /// Show whether the host has a node to send to.
     Health,
-    /// The nodes as it knows them, with what became of its attempts.
+    /// List the nodes that the host knows, with the results of its attempts at each.
     Nodes,
-    /// Its volumes.
+    /// List the host's volumes.
     Volumes,
-    /// Its metrics, as they are.
+    /// Print the host's metrics unchanged.
     Metrics,
-    /// Its fleet: `fleet members`, `fleet budgets` or `fleet why VOLUME`.
+    /// Compare the hosts' views of their fleet: `fleet members`, `fleet budgets` or `fleet why VOLUME`.
     Fleet,
-    /// To stop in order: take no more sessions, answer what was taken, go.
+    /// Drain the host: it accepts no more sessions, gives all open commands their final answers and exits.
     Drain,
 }
 
-impl Question {
+impl Query {
     fn path(self) -> &'static str {
         match self {
-            Question::Health => "/health",
-            Question::Nodes => "/nodes",
-            Question::Volumes => "/volumes",
-            Question::Metrics => "/metrics",
-            Question::Fleet => "/fleet",
-            Question::Drain => "/drain",
+            Query::Health => "/health",
+            Query::Nodes => "/nodes",
+            Query::Volumes => "/volumes",
+            Query::Metrics => "/metrics",
+            Query::Fleet => "/fleet",
+            Query::Drain => "/drain",
         }
     }
 }
 
-/// What a host answered.
+/// The response of a host.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    /// Lists of things with the same keys.
+pub enum Response {
+    /// Table rows.
     Rows(Vec<Value>),
-    /// Words.
-    Words(String),
-    /// It is there, and says no.
-    Ill(String),
-    /// It is not there, or did not answer in time.
-    Silent(String),
+    /// Plain text.
+    Text(String),
+    /// The host responded with an error status or with a body that can't be parsed.
+    Unhealthy(String),
+    /// The host can't be reached, or did not respond in time.
+    Unreachable(String),
 }
 
-/// Asks one host, and waits so long at the most.
-pub fn ask(host: SocketAddr, question: Question, within: Duration) -> Told {
-    let called = match question {
-        Question::Drain => post(host, question.path(), within),
-        _ => get(host, question.path(), within),
+/// Sends a query to a host and waits for the response for `timeout` at most.
+pub fn query_host(host: SocketAddr, query: Query, timeout: Duration) -> Response {
+    let called = match query {
+        Query::Drain => post(host, query.path(), timeout),
+        _ => get(host, query.path(), timeout),
     };
     let (status, body) = match called {
         Ok(answer) => answer,
-        Err(e) => return Told::Silent(e.to_string()),
+        Err(e) => return Response::Unreachable(e.to_string()),
     };
-    let words = String::from_utf8_lossy(&body).trim_end().to_owned();
+    let text = String::from_utf8_lossy(&body).trim_end().to_owned();
     if !matches!(status, 200 | 202) {
-        return Told::Ill(format!("{status}: {words}"));
+        return Response::Unhealthy(format!("{status}: {text}"));
     }
-    match (question, serde_json::from_slice(&body)) {
-        (Question::Fleet, Ok(view @ Value::Object(_))) => Told::Rows(vec![view]),
-        (Question::Fleet, _) => Told::Ill(format!("no state of a fleet: {words}")),
-        (Question::Nodes | Question::Volumes, Ok(Value::Array(rows))) => Told::Rows(rows),
-        (Question::Nodes | Question::Volumes, _) => Told::Ill(format!("no list of JSON: {words}")),
-        _ => Told::Words(words),
+    match (query, serde_json::from_slice(&body)) {
+        (Query::Fleet, Ok(view @ Value::Object(_))) => Response::Rows(vec![view]),
+        (Query::Fleet, _) => {
+            Response::Unhealthy(format!("expected the state of a fleet, a JSON object: {text}"))
+        }
+        (Query::Nodes | Query::Volumes, Ok(Value::Array(rows))) => Response::Rows(rows),
+        (Query::Nodes | Query::Volumes, _) => Response::Unhealthy(format!("expected a JSON array: {text}")),
+        _ => Response::Text(text),
     }
 }
 
-/// How often a draining host is looked at.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between the health queries to a draining host.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks a host to drain and waits until it is gone: words where it is, ill where it still stands when `wait` is over.
-pub fn drain(host: SocketAddr, wait: Duration, patience: Duration) -> Told {
+/// Asks a host to drain and waits until it is unreachable. Returns text when it is, and
+/// [`Response::Unhealthy`] when it still responds after `wait`. With a `wait` of zero it returns the response
+/// to the drain request.
+pub fn drain(host: SocketAddr, wait: Duration, timeout: Duration) -> Response {
     let until = Instant::now() + wait;
-    let told = ask(host, Question::Drain, patience);
-    if !matches!(told, Told::Words(_)) || wait.is_zero() {
-        return told;
+    let response = query_host(host, Query::Drain, timeout);
+    if !matches!(response, Response::Text(_)) || wait.is_zero() {
+        return response;
     }
     loop {
-        let now = ask(host, Question::Health, patience);
-        if matches!(now, Told::Silent(_)) {
-            return Told::Words("gone".to_owned());
+        let health = query_host(host, Query::Health, timeout);
+        if matches!(health, Response::Unreachable(_)) {
+            return Response::Text("gone".to_owned());
         }
         if Instant::now() >= until {
-            let (Told::Ill(words) | Told::Words(words)) = now else { return now };
-            return Told::Ill(format!("still there: {words}"));
+            let (Response::Unhealthy(text) | Response::Text(text)) = health else { return health };
+            return Response::Unhealthy(format!("still running: {text}"));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,29 +1,32 @@
-//! `pearfork-ctl`: asks running hosts how they are, or to drain.
+//! `pearfork-ctl`: queries running hosts and drains them.
 
 use clap::Parser;
 use pearfork_cli::{CommonArguments, Exit, Highlight};
-use pearfork_ctl::fleet::{look, Topic};
-use pearfork_ctl::{ask, drain, table, Question, Told};
+use pearfork_ctl::fleet::{compare, Topic};
+use pearfork_ctl::{drain, query_host, table, Query, Response};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Asks hosts how they are, or one to drain, over their HTTP. Exit codes: 0 fine, 1 a host is ill or did not drain in time,
-/// 2 one can't be asked.
+/// Query running hosts over HTTP, or drain one. Exit codes: 0 success, 1 a host is unhealthy or did not drain
+/// in time,
+/// 2 a host can't be reached.
 #[derive(Parser)]
 #[command(name = "pearfork-ctl", version, about)]
 struct Arguments {
     #[command(flatten)]
     common: CommonArguments,
-    /// What is asked.
-    question: Question,
-    /// Of `fleet`: `members`, `budgets`, or `why` and a volume.
-    what: Vec<String>,
-    /// HTTP addresses of the hosts, as `http` in their settings has them; 127.0.0.1:9180 where none is named, but `drain`
-    /// wants its host named.
+    /// The query.
+    #[arg(id = "question")]
+    query: Query,
+    /// Arguments of `fleet`: `members`, `budgets`, or `why` and the name of a volume.
+    #[arg(id = "what")]
+    query_arguments: Vec<String>,
+    /// HTTP addresses of the hosts, `http` in their settings. The default is 127.0.0.1:9180; `drain` has no
+    /// default.
     #[arg(long = "host")]
     hosts: Vec<SocketAddr>,
-    /// Seconds that `drain` waits for the host to be gone; 0 waits for nothing.
+    /// Seconds that `drain` waits for the host to exit; with 0 it does not wait.
     #[arg(long, default_value_t = 30)]
     wait: u64,
 }
@@ -34,90 +37,93 @@
     }
 }
 
-/// How long one host may take for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time limit of a call to a host.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() -> ExitCode {
     pearfork_cli::run(|a: Arguments| run(&a))
 }
 
 fn run(a: &Arguments) -> Result<Exit, String> {
-    let hosts = match (&a.hosts[..], a.question) {
-        // Danger: a tired hand that forgets the flag would stop whatever runs here.
-        ([], Question::Drain) => return Err("name the host to drain: --host ADDRESS".to_owned()),
+    let hosts = match (&a.hosts[..], a.query) {
+        // A default address would let a forgotten flag stop whichever host runs on this machine.
+        ([], Query::Drain) => return Err("name the host to drain: --host ADDRESS".to_owned()),
         ([], _) => vec![SocketAddr::from(([127, 0, 0, 1], 9180))],
         (named, _) => named.to_vec(),
     };
-    if a.question == Question::Fleet {
-        return fleet(a, &hosts);
+    if a.query == Query::Fleet {
+        return compare_fleet_views(a, &hosts);
     }
-    if let Some(word) = a.what.first() {
-        return Err(format!("`{word}` makes no sense after this question"));
+    if let Some(argument) = a.query_arguments.first() {
+        return Err(format!("unexpected argument `{argument}`: only `fleet` takes arguments"));
     }
     let output = a.common.output;
-    let mut end = Exit::Success;
+    let mut worst_exit = Exit::Success;
     for host in &hosts {
-        let told = match a.question {
-            Question::Drain => drain(*host, Duration::from_secs(a.wait), PATIENCE),
-            question => ask(*host, question, PATIENCE),
+        let response = match a.query {
+            Query::Drain => drain(*host, Duration::from_secs(a.wait), CALL_TIMEOUT),
+            query => query_host(*host, query, CALL_TIMEOUT),
         };
-        let head = if hosts.len() > 1 { format!("{host}\n") } else { String::new() };
-        let (own, words, value) = match &told {
-            Told::Rows(rows) => {
-                (Exit::Success, table::lay_out(rows), serde_json::json!({"host": host, "rows": rows}))
+        let heading = if hosts.len() > 1 { format!("{host}\n") } else { String::new() };
+        let (exit, text, value) = match &response {
+            Response::Rows(rows) => {
+                (Exit::Success, table::format_rows(rows), serde_json::json!({"host": host, "rows": rows}))
             }
-            Told::Words(w) => {
-                (Exit::Success, format!("{w}\n"), serde_json::json!({"host": host, "words": w}))
+            Response::Text(t) => {
+                (Exit::Success, format!("{t}\n"), serde_json::json!({"host": host, "words": t}))
             }
-            Told::Ill(w) => {
-                let words = format!("{} {w}\n", output.highlight(Highlight::Error, "ill:"));
-                (Exit::Negative, words, serde_json::json!({"host": host, "ill": w}))
+            Response::Unhealthy(t) => {
+                let text = format!("{} {t}\n", output.highlight(Highlight::Error, "ill:"));
+                (Exit::Negative, text, serde_json::json!({"host": host, "ill": t}))
             }
-            Told::Silent(w) => {
-                let words = format!("{} {w}\n", output.highlight(Highlight::Error, "silent:"));
-                (Exit::Error, words, serde_json::json!({"host": host, "silent": w}))
+            Response::Unreachable(t) => {
+                let text = format!("{} {t}\n", output.highlight(Highlight::Error, "silent:"));
+                (Exit::Error, text, serde_json::json!({"host": host, "silent": t}))
             }
         };
-        output.print(&value, &(head + &words));
-        end = end.max(own);
-        // One that would not drain leaves the others running: draining a whole fleet at once is nobody's wish.
-        if a.question == Question::Drain && own != Exit::Success {
+        output.print(&value, &(heading + &text));
+        worst_exit = worst_exit.max(exit);
+        // Hosts are drained one after the other. The first one that does not drain ends the sequence, so that
+        // the remaining hosts keep serving.
+        if a.query == Query::Drain && exit != Exit::Success {
             break;
         }
     }
-    Ok(end)
+    Ok(worst_exit)
 }
 
-/// The views of all hosts that were named, beside each other.
-fn fleet(a: &Arguments, hosts: &[SocketAddr]) -> Result<Exit, String> {
-    let topic = match a.what.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+/// Prints a comparison of the fleet views of the given hosts.
+fn compare_fleet_views(a: &Arguments, hosts: &[SocketAddr]) -> Result<Exit, String> {
+    let topic = match a.query_arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         ["members"] | [] => Topic::Members,
         ["budgets"] => Topic::Budgets,
         ["why", volume] => Topic::Why(volume.to_owned()),
-        _ => return Err("say `fleet members`, `fleet budgets` or `fleet why VOLUME`".to_owned()),
+        _ => return Err("expected `fleet members`, `fleet budgets` or `fleet why VOLUME`".to_owned()),
     };
     let output = a.common.output;
     let mut views = Vec::new();
-    let mut end = Exit::Success;
+    let mut worst_exit = Exit::Success;
     for host in hosts {
-        match ask(*host, Question::Fleet, PATIENCE) {
-            Told::Rows(rows) => views.extend(rows),
-            Told::Words(w) | Told::Ill(w) => {
-                eprintln!("{host}: {} {w}", output.highlight(Highlight::Error, "ill:"));
-                end = end.max(Exit::Negative);
+        match query_host(*host, Query::Fleet, CALL_TIMEOUT) {
+            Response::Rows(rows) => views.extend(rows),
+            Response::Text(t) | Response::Unhealthy(t) => {
+                eprintln!("{host}: {} {t}", output.highlight(Highlight::Error, "ill:"));
+                worst_exit = worst_exit.max(Exit::Negative);
             }
-            Told::Silent(w) => {
-                eprintln!("{host}: {} {w}", output.highlight(Highlight::Error, "silent:"));
-                end = end.max(Exit::Error);
+            Response::Unreachable(t) => {
+                eprintln!("{host}: {} {t}", output.highlight(Highlight::Error, "silent:"));
+                worst_exit = worst_exit.max(Exit::Error);
             }
         }
     }
-    let seen = look(&views, &topic);
-    let mut words = if seen.rows.is_empty() { String::new() } else { table::lay_out(&seen.rows) };
-    seen.words.iter().for_each(|w| words += &format!("{w}\n"));
-    seen.disagree
+    let comparison = compare(&views, &topic);
+    let mut text =
+        if comparison.rows.is_empty() { String::new() } else { table::format_rows(&comparison.rows) };
+    comparison.sentences.iter().for_each(|s| text += &format!("{s}\n"));
+    comparison
+        .disagreements
         .iter()
-        .for_each(|w| words += &format!("{} {w}\n", output.highlight(Highlight::Error, "disagreement:")));
-    output.print(&seen, &words);
-    Ok(if seen.disagree.is_empty() { end } else { end.max(Exit::Negative) })
+        .for_each(|d| text += &format!("{} {d}\n", output.highlight(Highlight::Error, "disagreement:")));
+    output.print(&comparison, &text);
+    Ok(if comparison.disagreements.is_empty() { worst_exit } else { worst_exit.max(Exit::Negative) })
 }
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,16 +1,16 @@
-//! Rows of JSON as columns for people.
+//! Formats JSON objects as a text table.
 
 use serde_json::{Map, Value};
 
-/// What a row is called by; such a column stands first.
-const NAMES: [&str; 2] = ["name", "node"];
+/// Keys that identify a row; their columns come first.
+const NAME_KEYS: [&str; 2] = ["name", "node"];
 
-/// Lays out rows under the keys of the first one; what is no row is passed over.
-pub fn lay_out(rows: &[Value]) -> String {
+/// Formats rows with the keys of the first one as columns. Values that are not objects are skipped.
+pub fn format_rows(rows: &[Value]) -> String {
     let rows: Vec<&Map<String, Value>> = rows.iter().filter_map(Value::as_object).collect();
     let Some(first) = rows.first() else { return "none\n".to_owned() };
     let mut keys: Vec<&String> = first.keys().collect();
-    keys.sort_by_key(|k| !NAMES.contains(&k.as_str()));
+    keys.sort_by_key(|k| !NAME_KEYS.contains(&k.as_str()));
     let cell = |row: &Map<String, Value>, key: &str| match row.get(key) {
         Some(Value::String(s)) => s.clone(),
         Some(Value::Null) | None => "-".to_owned(),
@@ -36,16 +36,16 @@
     use super::*;
 
     #[test]
-    fn columns_are_as_wide_as_their_widest_and_odd_rows_do_no_harm() {
+    fn columns_fit_their_widest_cell_and_unexpected_rows_are_tolerated() {
         let rows = vec![
             serde_json::json!({"node": 1, "state": "ready"}),
             serde_json::json!({"node": 12, "state": {"limit": 3, "rest": 1}, "more": true}),
             serde_json::json!({"state": null}),
             serde_json::json!(7),
         ];
-        let lines = lay_out(&rows);
-        let want = "node  state\n1     ready\n12    limit 3, rest 1\n-     -\n";
-        assert_eq!(lines, want);
-        assert_eq!(lay_out(&[]), "none\n");
+        let lines = format_rows(&rows);
+        let expected = "node  state\n1     ready\n12    limit 3, rest 1\n-     -\n";
+        assert_eq!(lines, expected);
+        assert_eq!(format_rows(&[]), "none\n");
     }
 }
