--- a/crates/cli/src/bin/pearfork.rs
+++ b/crates/cli/src/bin/pearfork.rs
@@ -1,31 +1,34 @@
-//! `pearfork PROGRAM ...`: finds `pearfork-PROGRAM` beside itself or on the path, and runs it.
+//! `pearfork PROGRAM ...`: runs `pearfork-PROGRAM` from its own folder or from the search path.
 
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
 
-/// Programs of the project, for the list; any `pearfork-NAME` is found.
+/// Programs listed in the usage text; any other `pearfork-NAME` can be run as well.
 const PROGRAMS: [(&str, &str); 7] = [
-    ("check", "check settings, rule files and days; explain a value or a request; migrate; format rules"),
-    ("ctl", "ask running hosts for health, nodes, volumes, metrics; drain one"),
-    ("day", "play a scripted day and prove the seven rules; the demo"),
+    (
+        "check",
+        "check settings, rule files and scenarios; explain a value or a request; migrate; format rules",
+    ),
+    ("ctl", "query running hosts for health, nodes, volumes, metrics and fleet; drain a host"),
+    ("day", "run a scenario and check the seven rules; run the demo"),
     ("gateway", "run a host"),
-    ("load", "load an iSCSI unit, and prove what it holds"),
-    ("replay", "prove the seven rules from a recorded day"),
-    ("report", "a report of a recorded day, as a page or as text"),
+    ("load", "load an iSCSI unit and verify its data"),
+    ("replay", "check the seven rules against a recorded scenario run"),
+    ("report", "report on a recorded scenario run as HTML or text"),
 ];
 
-fn find(name: &str) -> PathBuf {
+fn find_program(name: &str) -> PathBuf {
     let file = format!("pearfork-{name}{}", std::env::consts::EXE_SUFFIX);
-    let beside = std::env::current_exe().ok().and_then(|p| Some(p.parent()?.join(&file)));
-    beside.filter(|p| p.is_file()).unwrap_or_else(|| PathBuf::from(file))
+    let sibling = std::env::current_exe().ok().and_then(|p| Some(p.parent()?.join(&file)));
+    sibling.filter(|p| p.is_file()).unwrap_or_else(|| PathBuf::from(file))
 }
 
-fn list() -> String {
-    let mut out = "usage: pearfork PROGRAM [ARGUMENTS]\n\n".to_owned();
-    for (name, words) in PROGRAMS {
-        out += &format!("  {name:<9} {words}\n");
+fn usage() -> String {
+    let mut text = "usage: pearfork PROGRAM [ARGUMENTS]\n\n".to_owned();
+    for (name, description) in PROGRAMS {
+        text += &format!("  {name:<9} {description}\n");
     }
-    out + "\n`pearfork PROGRAM --help` says more.\n"
+    text + "\n`pearfork PROGRAM --help` describes a program.\n"
 }
 
 fn main() -> ExitCode {
@@ -37,21 +40,21 @@
             ExitCode::SUCCESS
         }
         Some("--help" | "-h" | "help") => {
-            print!("{}", list());
+            print!("{}", usage());
             ExitCode::SUCCESS
         }
-        // A name is a word: nothing that leads to another folder.
+        // Only plain names are accepted, so that a name can't lead to a program in another folder.
         Some(name) if !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-') => {
-            match Command::new(find(name)).args(arguments).status() {
+            match Command::new(find_program(name)).args(arguments).status() {
                 Ok(status) => ExitCode::from(u8::try_from(status.code().unwrap_or(2)).unwrap_or(2)),
                 Err(e) => {
-                    eprintln!("pearfork: there is no program `{name}` that can be run: {e}\n\n{}", list());
+                    eprintln!("pearfork: can't run program `{name}`: {e}\n\n{}", usage());
                     ExitCode::from(2)
                 }
             }
         }
         _ => {
-            eprint!("{}", list());
+            eprint!("{}", usage());
             ExitCode::from(2)
         }
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the programs share: exit codes, where output goes and in which form, the log, settings with what goes over
-//! them, man pages and completions.
+//! Command-line functions shared by all programs: exit codes, text and JSON output, logging, settings files
+//! with overrides, man pages and shell completions.
 
 mod generate;
 mod output;
@@ -11,14 +11,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// How a program ends. The same in all of them.
+/// Exit code of a program; the same in all programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exit {
-    /// All is well.
+    /// The operation succeeded.
     Success = 0,
-    /// What was asked for was done, and its answer is no: a file is refused, a rule broken, a block wrong.
+    /// The operation was carried out with a negative result: an invalid file, a broken rule, a wrong block.
     Negative = 1,
-    /// It could not be done: bad arguments, a file that can't be read, a port that is taken.
+    /// The operation could not be carried out: bad arguments, a file that can't be read, a port in use.
     Error = 2,
 }
 
@@ -28,74 +28,77 @@
     }
 }
 
-/// Flags that every program has.
+/// Flags of every program.
 #[derive(Clone, Debug, clap::Args)]
 pub struct CommonArguments {
-    /// Where results go.
+    /// Format of the results.
     #[command(flatten)]
     pub output: Output,
-    /// Form of the log on standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
     pub log: LogFormat,
-    /// What is logged: a level, or filters such as `pearfork_host=debug`.
+    /// Filter of the log: a level, or filters such as `pearfork_host=debug`.
     #[arg(long, default_value = "warn", global = true)]
     pub log_filter: String,
 }
 
-/// Form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Lines of text.
     Text,
-    /// JSON, a line each.
+    /// One JSON object per line.
     Json,
 }
 
 impl CommonArguments {
-    /// Begins to log to standard error.
+    /// Starts logging to standard error.
     ///
     /// # Errors
-    /// A filter that can't be read, in words.
+    /// The log filter is invalid.
     pub fn start_log(&self) -> Result<(), String> {
         let filter = tracing_subscriber::EnvFilter::try_new(&self.log_filter)
             .map_err(|e| format!("--log-filter `{}`: {e}", self.log_filter))?;
-        let log = tracing_subscriber::fmt()
+        let subscriber = tracing_subscriber::fmt()
             .with_writer(std::io::stderr)
-            // Told of on the same standard error, a line that can't be written would end the thread that logs it.
+            // A report of a failed write would go to the same standard error, fail as well and panic the
+            // logging thread.
             .log_internal_errors(false)
             .with_ansi(self.output.uses_color(std::io::IsTerminal::is_terminal(&std::io::stderr())))
             .with_env_filter(filter);
-        // A log that was begun before is the caller's own.
+        // Initialization fails where the caller has set up a log already; that log stays in use.
         let _ = match self.log {
-            LogFormat::Text => log.try_init(),
-            LogFormat::Json => log.json().try_init(),
+            LogFormat::Text => subscriber.try_init(),
+            LogFormat::Json => subscriber.json().try_init(),
         };
         Ok(())
     }
 }
 
-/// A settings file, and what goes over it.
+/// A settings file and overrides of its values.
 #[derive(Clone, Debug, clap::Args)]
 pub struct SettingsArguments {
     /// Settings file.
     #[arg(long)]
     pub config: PathBuf,
-    /// Put a value over the file's: `--set host.listen=127.0.0.1:3261`, `--set class.write.deadline=3s`. Later ones win.
+    /// Override a value of the file: `--set host.listen=127.0.0.1:3261`, `--set class.write.deadline=3s`. Of
+    /// several for one key, the last one applies.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     pub set: Vec<String>,
 }
 
-/// Variables of the environment that settings are taken from begin so.
+/// Prefix of the environment variables that override settings.
 pub const VARIABLE_PREFIX: &str = "PEARFORK__";
 
 impl SettingsArguments {
-    /// What goes over the file.
+    /// The overrides from the environment and from `--set`.
     pub fn overrides(&self) -> Overrides {
         overrides(self.set.clone())
     }
 }
 
-/// The variables of this process, and flags over them.
+/// The overrides from the environment variables of this process, and from `--set` flags, which take
+/// precedence.
 pub fn overrides(set: Vec<String>) -> Overrides {
     let variables = std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.to_string_lossy().into_owned())))
@@ -103,21 +106,21 @@
     Overrides::new(variables.collect(), set)
 }
 
-/// Runs a program: parses its arguments, begins to log, does the work, and ends as that did; what went wrong goes to
-/// standard error under the program's name. `--generate man` prints its man page instead, `--generate
-/// bash|zsh|fish|elvish|powershell` its completions.
+/// Runs a program: parses its arguments, starts the log and calls `run_program`. An error is printed to
+/// standard error after the program's name. With `--generate man` it prints its man page instead, with
+/// `--generate bash|zsh|fish|elvish|powershell` its completions.
 pub fn run<P: Parser + CommandFactory + AsRef<CommonArguments>>(
-    work: impl FnOnce(P) -> Result<Exit, String>,
+    run_program: impl FnOnce(P) -> Result<Exit, String>,
 ) -> ExitCode {
     let arguments: Vec<String> = std::env::args_os().map(|a| a.to_string_lossy().into_owned()).collect();
-    if let [_, flag, what] = &arguments[..] {
+    if let [_, flag, format] = &arguments[..] {
         if flag == "--generate" {
-            return generate::print(&mut P::command(), what).into();
+            return generate::print(&mut P::command(), format).into();
         }
     }
     let parsed = P::parse();
-    let end = match parsed.as_ref().start_log() {
-        Ok(()) => work(parsed).unwrap_or_else(|e| {
+    let exit = match parsed.as_ref().start_log() {
+        Ok(()) => run_program(parsed).unwrap_or_else(|e| {
             eprintln!("{}: {e}", P::command().get_name());
             Exit::Error
         }),
@@ -126,5 +129,5 @@
             Exit::Error
         }
     };
-    end.into()
+    exit.into()
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,22 +1,23 @@
-//! Results: words for people on a terminal, lines of JSON elsewhere; paint where it helps.
+//! Output of results: text on a terminal, lines of JSON elsewhere, with optional highlighting.
 
 use anstyle::{AnsiColor, Style};
 use clap::ValueEnum;
 use serde::Serialize;
 use std::io::{IsTerminal, Write};
 
-/// Flags for output; the same in all programs.
+/// Flags for the output; the same in all programs.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct Output {
-    /// Lines of JSON; so it is anyway where the output is no terminal, unless this is `--json=false`.
+    /// Print lines of JSON. This is the default where standard output is not a terminal; `--json=false`
+    /// prints text.
     #[arg(long, global = true, num_args = 0..=1, require_equals = true, default_missing_value = "true")]
     pub json: Option<bool>,
-    /// Whether words are painted; `auto` looks for a terminal and for NO_COLOR.
+    /// Whether to highlight text; `auto` highlights on a terminal unless NO_COLOR is set.
     #[arg(long, value_enum, default_value_t = Color::Auto, global = true)]
     pub color: Color,
 }
 
-/// Whether words are painted.
+/// When to highlight text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Color {
     /// On a terminal, unless NO_COLOR is set.
@@ -27,49 +28,50 @@
     Never,
 }
 
-/// What a word tells, for its paint.
+/// Meaning of a highlighted text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Highlight {
-    /// All is well.
+    /// A good result.
     Success,
-    /// Something is wrong.
+    /// A bad result.
     Error,
-    /// Worth a look.
+    /// A result that needs attention.
     Warning,
     /// A heading.
     Heading,
 }
 
 impl Output {
-    /// Whether JSON is wanted.
+    /// Whether to print JSON.
     pub fn is_json(self) -> bool {
         self.json.unwrap_or_else(|| !std::io::stdout().is_terminal())
     }
 
-    /// Prints a line of JSON, or words. A reader that has gone away is no fault of ours.
-    pub fn print(self, value: &impl Serialize, words: &str) {
-        let mut out = std::io::stdout().lock();
+    /// Prints a value as a line of JSON, or the text. Write errors are ignored, since the reader of a pipe
+    /// may have exited.
+    pub fn print(self, value: &impl Serialize, text: &str) {
+        let mut stdout = std::io::stdout().lock();
         let _ = if self.is_json() {
-            writeln!(out, "{}", serde_json::to_string(value).unwrap_or_default())
+            writeln!(stdout, "{}", serde_json::to_string(value).unwrap_or_default())
         } else {
-            write!(out, "{words}")
+            write!(stdout, "{text}")
         };
-        let _ = out.flush();
+        let _ = stdout.flush();
     }
 
-    /// Whether a stream that is a terminal, or is none, gets paint.
-    pub fn uses_color(self, terminal: bool) -> bool {
+    /// Whether to highlight text on a stream, given whether it is a terminal.
+    pub fn uses_color(self, is_terminal: bool) -> bool {
         match self.color {
             Color::Always => true,
             Color::Never => false,
-            Color::Auto => terminal && std::env::var_os("NO_COLOR").is_none_or(|v| v.is_empty()),
+            Color::Auto => is_terminal && std::env::var_os("NO_COLOR").is_none_or(|v| v.is_empty()),
         }
     }
 
-    /// The word, painted where standard output gets paint.
-    pub fn highlight(self, highlight: Highlight, word: &str) -> String {
+    /// The text, highlighted where standard output supports it.
+    pub fn highlight(self, highlight: Highlight, text: &str) -> String {
         if !self.uses_color(std::io::stdout().is_terminal()) {
-            return word.to_owned();
+            return text.to_owned();
         }
         let style = match highlight {
             Highlight::Success => Style::new().fg_color(Some(AnsiColor::Green.into())),
@@ -77,7 +79,7 @@
             Highlight::Warning => Style::new().fg_color(Some(AnsiColor::Yellow.into())),
             Highlight::Heading => Style::new().bold(),
         };
-        format!("{style}{word}{style:#}")
+        format!("{style}{text}{style:#}")
     }
 }
 
@@ -86,11 +88,13 @@
     use super::*;
 
     #[test]
-    fn paint_is_for_those_who_want_it() {
+    fn text_is_highlighted_only_where_color_is_enabled() {
         let output = |color| Output { json: None, color };
         assert_eq!(output(Color::Never).highlight(Highlight::Error, "broken"), "broken");
-        let painted = output(Color::Always).highlight(Highlight::Error, "broken");
-        assert!(painted.starts_with('\u{1b}') && painted.contains("broken") && painted.ends_with('m'));
+        let highlighted = output(Color::Always).highlight(Highlight::Error, "broken");
+        assert!(
+            highlighted.starts_with('\u{1b}') && highlighted.contains("broken") && highlighted.ends_with('m')
+        );
         assert!(!output(Color::Auto).uses_color(false));
     }
 }
