--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -144,7 +144,7 @@
             let of_class = |(i, (class, c)): (usize, (&String, &ClassCounts))| HostClassCounts {
                 host: host as u16,
                 class: class.clone(),
-                taken: c.taken,
+                accepted: c.taken,
                 served: c.served,
                 late: c.late,
                 refused: c.refused,
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,9 +1,9 @@
-//! The record of a day as a file, so that it can be judged again later, elsewhere, by anybody.
+//! The record of a scenario run as a file, from which the seven rules can be checked again later.
 //!
-//! Lines of JSON: a head, then what was noted in the order of its times, then what hosts counted, then a last line with
-//! the number of lines and their CRC32C. A record without its last line was cut off, and is told apart from a whole one:
-//! commands without an answer would otherwise look like broken promises. Nothing here does I/O of its own choosing; a
-//! reader and a writer are given.
+//! A record consists of lines of JSON: a header, the trace events in the order of their times, the hosts' own
+//! counts and a trailer with the number of lines and their CRC32C. A record without its trailer is truncated
+//! and is not complete: commands whose final answers are missing from it would look like violations of the
+//! rules. The caller passes the reader or writer; this crate opens no files.
 
 mod read;
 mod write;
@@ -15,85 +15,87 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The form that is written, and the only one that is read.
+/// Version of the record format; no other version can be read.
 pub const FORMAT: u32 = 1;
-/// Longest line, bytes: the head holds all settings, with rules of thousands of rows.
+/// Maximum length of a line in bytes. The header holds all settings, including matching rules of thousands of
+/// rows.
 pub const MAX_LINE: usize = 16 << 20;
-/// Most notes that are read: about a day of an hour on loopback.
+/// Maximum number of trace events that are read, about those of a run of one hour on loopback.
 pub const MAX_EVENTS: usize = 20_000_000;
 
-/// What a record begins with.
+/// The first line of a record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordHeader {
-    /// [`FORMAT`].
+    /// Version of the format, [`FORMAT`].
     pub pearfork_record: u32,
-    /// What was played.
+    /// Name of the scenario.
     pub name: String,
-    /// Hosts that took part.
+    /// Number of hosts.
     pub hosts: u16,
-    /// How long clients offered load, milliseconds.
+    /// Time during which clients offered load, in milliseconds.
     pub length_ms: f64,
-    /// How much later than it happened a thing may have been noted, milliseconds.
+    /// Maximum delay between an event and its time in the record, in milliseconds.
     pub margin_ms: f64,
-    /// Start, milliseconds of the Unix epoch.
+    /// Start of the run, in milliseconds since the Unix epoch.
     pub began_ms: f64,
-    /// The hosts' settings, resolved: one text that refers to no other file.
+    /// The hosts' resolved settings: one text that refers to no other file.
     pub settings: String,
 }
 
-/// Something the script did, in words.
+/// An event of the scenario, such as the begin or end of a fault.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioEvent {
-    /// Microseconds since the record began.
+    /// Time in microseconds since the recording began.
     pub at_us: u64,
-    /// What.
+    /// Description of the event.
     #[serde(rename = "words")]
     pub text: String,
 }
 
-/// What a host counted for a class by itself.
+/// A host's own counts of a class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostClassCounts {
-    /// The host.
+    /// Number of the host.
     pub host: u16,
-    /// The class, by name.
+    /// Name of the class.
     pub class: String,
-    /// Commands taken.
-    pub taken: u64,
-    /// Served.
+    /// Commands that the host accepted.
+    #[serde(rename = "taken")]
+    pub accepted: u64,
+    /// Commands that were served.
     pub served: u64,
-    /// Of those, past the aim.
+    /// Served commands that took longer than the aim.
     pub late: u64,
-    /// Refused.
+    /// Commands that were refused.
     pub refused: u64,
-    /// Failed.
+    /// Commands that failed.
     pub failed: u64,
-    /// Left by their clients.
+    /// Commands that were aborted by their clients, or whose clients disconnected.
     pub abandoned: u64,
-    /// Refusals and failures by the module's reason.
+    /// Refusals and failures by the scheduler's reason.
     #[serde(default)]
     pub reasons: BTreeMap<String, u64>,
 }
 
-/// The whole record.
+/// The content of a record.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recording {
-    /// What it begins with.
+    /// The first line.
     pub header: RecordHeader,
-    /// What the script did.
+    /// Events of the scenario.
     pub scenario_events: Vec<ScenarioEvent>,
-    /// What passed the sockets and what stand-ins knew, in the order of the times.
+    /// Messages on the sockets and events of the fake nodes and hosts, in the order of their times.
     pub events: Vec<TraceEvent>,
-    /// What hosts counted.
+    /// The hosts' own counts.
     pub host_counts: Vec<HostClassCounts>,
-    /// Whether the last line was there and right.
+    /// Whether the trailer is present and matches the lines before it.
     pub complete: bool,
 }
 
-/// A line, as it is read and written.
+/// A line of a record.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
@@ -109,11 +111,12 @@
     Trailer(Trailer),
 }
 
+/// The last line of a record.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Trailer {
-    /// Lines before this one.
+    /// Number of lines before the trailer.
     lines: u64,
-    /// CRC32C (Castagnoli) of all their bytes, line ends included.
+    /// CRC32C (Castagnoli) of the bytes of these lines, including line ends.
     crc32c: u32,
 }
--- a/crates/record/src/read.rs
+++ b/crates/record/src/read.rs
@@ -1,100 +1,114 @@
-//! Reads a record; whatever the bytes are, it ends in a record or in an error that names the line.
+//! Reads a record. Arbitrary input gives either a record or an error that names the line.
 
 use crate::{Line, Recording, FORMAT, MAX_EVENTS, MAX_LINE};
 use std::io::{self, BufRead, Read};
 
-/// A record that can't be read.
+/// Why a record can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The reader failed.
+    /// An error of the reader.
     #[error("line {line}: {source}")]
     Io {
-        /// Line, from 1.
+        /// Number of the line, starting at 1.
         line: u64,
-        /// Why.
+        /// Error of the reader.
         source: io::Error,
     },
-    /// A line that is none of this form.
-    #[error("line {line}: {what}")]
+    /// An invalid line.
+    #[error("line {line}: {message}")]
     Line {
-        /// Line, from 1.
+        /// Number of the line, starting at 1.
         line: u64,
-        /// What is wrong.
-        what: String,
+        /// Description of the error.
+        message: String,
     },
 }
 
-/// Reads a record. One that was cut off is read as far as it goes and is not `whole`; a line that is broken in the middle
-/// is an error.
+/// Reads a record. A truncated record is read up to its last whole line and is not `complete`; an invalid
+/// line before the end is an error.
 ///
 /// # Errors
-/// The line, and what is wrong with it.
-pub fn read(mut from: impl BufRead) -> Result<Recording, ReadError> {
-    let mut out = Recording::default();
+/// The reader fails, or a line is invalid.
+pub fn read(mut reader: impl BufRead) -> Result<Recording, ReadError> {
+    let mut recording = Recording::default();
     let (mut number, mut crc) = (0u64, 0u32);
-    let mut text = Vec::new();
+    let mut line_bytes = Vec::new();
     loop {
         let line = number + 1;
-        let bad = |what: String| ReadError::Line { line, what };
-        text.clear();
-        let got = from
+        let error = |message: String| ReadError::Line { line, message };
+        line_bytes.clear();
+        let read_len = reader
             .by_ref()
             .take(MAX_LINE as u64 + 1)
-            .read_until(b'\n', &mut text)
+            .read_until(b'\n', &mut line_bytes)
             .map_err(|source| ReadError::Io { line, source })?;
-        if got == 0 {
-            return if number == 0 { Err(bad("the file is empty".to_owned())) } else { Ok(out) };
+        if read_len == 0 {
+            return if number == 0 { Err(error("the file is empty".to_owned())) } else { Ok(recording) };
         }
-        if text.len() > MAX_LINE {
-            return Err(bad(format!("is longer than {MAX_LINE} bytes")));
+        if line_bytes.len() > MAX_LINE {
+            return Err(error(format!("longer than the maximum of {MAX_LINE} bytes")));
         }
-        // A writer that was killed leaves half a line: that is a record cut off, not a broken one.
-        let ended = text.last() == Some(&b'\n');
-        let parsed = match serde_json::from_slice::<Line>(&text) {
-            Ok(parsed) if ended => parsed,
-            _ if !ended && number > 0 => return Ok(out),
-            Ok(_) => return Err(bad("the head has no end".to_owned())),
-            Err(e) => return Err(bad(format!("is no line of a record: {e}"))),
+        // A writer that is killed may leave an incomplete last line. The record is then truncated, not
+        // invalid.
+        let is_terminated = line_bytes.last() == Some(&b'\n');
+        let parsed = match serde_json::from_slice::<Line>(&line_bytes) {
+            Ok(parsed) if is_terminated => parsed,
+            _ if !is_terminated && number > 0 => return Ok(recording),
+            Ok(_) => return Err(error("the header has no line end".to_owned())),
+            Err(e) => return Err(error(format!("not a line of a record: {e}"))),
         };
         match parsed {
-            Line::Header(head) if number == 0 => {
-                if head.pearfork_record != FORMAT {
-                    let other = head.pearfork_record;
-                    return Err(bad(format!("is of format {other}; this program reads {FORMAT}")));
+            Line::Header(header) if number == 0 => {
+                if header.pearfork_record != FORMAT {
+                    let version = header.pearfork_record;
+                    return Err(error(format!(
+                        "unsupported format {version}; this program reads format {FORMAT}"
+                    )));
                 }
-                out.header = head;
+                recording.header = header;
             }
-            _ if number == 0 => return Err(bad("a record begins with its head".to_owned())),
-            Line::Header(_) => return Err(bad("a second head".to_owned())),
-            Line::ScenarioEvent(said) => out.scenario_events.push(said),
-            Line::Event(note) => {
-                if out.events.last().is_some_and(|last| last.at_us > note.at_us) {
-                    return Err(bad("notes are in the order of their times, and this is earlier".to_owned()));
+            _ if number == 0 => {
+                return Err(error("the first line of a record must be its header".to_owned()))
+            }
+            Line::Header(_) => return Err(error("duplicate header".to_owned())),
+            Line::ScenarioEvent(event) => recording.scenario_events.push(event),
+            Line::Event(event) => {
+                if recording.events.last().is_some_and(|last| last.at_us > event.at_us) {
+                    return Err(error(
+                        "events must be in the order of their times; this one is earlier than the one before"
+                            .to_owned(),
+                    ));
                 }
-                if out.events.len() >= MAX_EVENTS {
-                    return Err(bad(format!("more than {MAX_EVENTS} notes")));
+                if recording.events.len() >= MAX_EVENTS {
+                    return Err(error(format!("more than {MAX_EVENTS} events")));
                 }
-                out.events.push(note);
+                recording.events.push(event);
             }
-            Line::HostClassCounts(counted) => out.host_counts.push(counted),
-            Line::Trailer(end) => {
-                if end.lines != number {
-                    return Err(bad(format!("tells of {} lines, and {number} are here", end.lines)));
+            Line::HostClassCounts(counts) => recording.host_counts.push(counts),
+            Line::Trailer(trailer) => {
+                if trailer.lines != number {
+                    return Err(error(format!(
+                        "the trailer counts {} lines, the record has {number}",
+                        trailer.lines
+                    )));
                 }
-                if end.crc32c != crc {
-                    return Err(bad(
-                        "the checksum is another: lines were changed after they were written".to_owned()
+                if trailer.crc32c != crc {
+                    return Err(error(
+                        "checksum mismatch: lines were changed after they were written".to_owned(),
                     ));
                 }
-                let mut more = [0; 1];
-                if from.read(&mut more).map_err(|source| ReadError::Io { line: line + 1, source })? > 0 {
-                    return Err(ReadError::Line { line: line + 1, what: "stands after the end".to_owned() });
+                let mut extra = [0; 1];
+                if reader.read(&mut extra).map_err(|source| ReadError::Io { line: line + 1, source })? > 0 {
+                    return Err(ReadError::Line {
+                        line: line + 1,
+                        message: "data after the trailer".to_owned(),
+                    });
                 }
-                out.complete = true;
-                return Ok(out);
+                recording.complete = true;
+                return Ok(recording);
             }
         }
-        crc = crc32c::crc32c_append(crc, &text);
+        crc = crc32c::crc32c_append(crc, &line_bytes);
         number += 1;
     }
 }
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -4,75 +4,75 @@
 use pearfork_rulecheck::TraceEvent;
 use std::io::{self, Write};
 
-/// Writes a record as it comes about; [`Writer::end`] makes it whole.
+/// Writes a record line by line. It is complete after [`Writer::finish`].
 #[derive(Debug)]
 pub struct Writer<W> {
-    to: W,
+    output: W,
     lines: u64,
     crc: u32,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins with the head.
+    /// Starts a record by writing its header.
     ///
     /// # Errors
-    /// As the writer's.
-    pub fn new(to: W, head: &RecordHeader) -> io::Result<Self> {
-        let mut writer = Writer { to, lines: 0, crc: 0 };
-        writer.line(&Line::Header(RecordHeader { pearfork_record: FORMAT, ..head.clone() }))?;
+    /// An error of the output.
+    pub fn new(output: W, header: &RecordHeader) -> io::Result<Self> {
+        let mut writer = Writer { output, lines: 0, crc: 0 };
+        writer.write_line(&Line::Header(RecordHeader { pearfork_record: FORMAT, ..header.clone() }))?;
         Ok(writer)
     }
 
-    /// Something the script did.
+    /// Writes an event of the scenario.
     ///
     /// # Errors
-    /// As the writer's.
+    /// An error of the output.
     pub fn scenario_event(&mut self, event: &ScenarioEvent) -> io::Result<()> {
-        self.line(&Line::ScenarioEvent(event.clone()))
+        self.write_line(&Line::ScenarioEvent(event.clone()))
     }
 
-    /// A note.
+    /// Writes a trace event.
     ///
     /// # Errors
-    /// As the writer's.
+    /// An error of the output.
     pub fn event(&mut self, event: &TraceEvent) -> io::Result<()> {
-        self.line(&Line::Event(event.clone()))
+        self.write_line(&Line::Event(event.clone()))
     }
 
-    /// What a host counted.
+    /// Writes a host's counts of a class.
     ///
     /// # Errors
-    /// As the writer's.
+    /// An error of the output.
     pub fn host_counts(&mut self, counts: &HostClassCounts) -> io::Result<()> {
-        self.line(&Line::HostClassCounts(counts.clone()))
+        self.write_line(&Line::HostClassCounts(counts.clone()))
     }
 
-    /// Writes the last line, flushes, and gives the writer back.
+    /// Writes the trailer, flushes the output and returns it.
     ///
     /// # Errors
-    /// As the writer's.
+    /// An error of the output.
     pub fn finish(mut self) -> io::Result<W> {
-        let end = Trailer { lines: self.lines, crc32c: self.crc };
-        self.line(&Line::Trailer(end))?;
-        self.to.flush()?;
-        Ok(self.to)
+        let trailer = Trailer { lines: self.lines, crc32c: self.crc };
+        self.write_line(&Line::Trailer(trailer))?;
+        self.output.flush()?;
+        Ok(self.output)
     }
 
-    fn line(&mut self, line: &Line) -> io::Result<()> {
-        let mut text = serde_json::to_vec(line)?;
-        text.push(b'\n');
-        self.crc = crc32c::crc32c_append(self.crc, &text);
+    fn write_line(&mut self, line: &Line) -> io::Result<()> {
+        let mut line_bytes = serde_json::to_vec(line)?;
+        line_bytes.push(b'\n');
+        self.crc = crc32c::crc32c_append(self.crc, &line_bytes);
         self.lines += 1;
-        self.to.write_all(&text)
+        self.output.write_all(&line_bytes)
     }
 }
 
-/// Writes a record at once.
+/// Writes a whole record.
 ///
 /// # Errors
-/// As the writer's.
-pub fn write<W: Write>(to: W, recording: &Recording) -> io::Result<W> {
-    let mut writer = Writer::new(to, &recording.header)?;
+/// An error of the output.
+pub fn write<W: Write>(output: W, recording: &Recording) -> io::Result<W> {
+    let mut writer = Writer::new(output, &recording.header)?;
     recording.scenario_events.iter().try_for_each(|s| writer.scenario_event(s))?;
     recording.events.iter().try_for_each(|n| writer.event(n))?;
     recording.host_counts.iter().try_for_each(|c| writer.host_counts(c))?;
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -1,4 +1,4 @@
-//! Records come back as they were written; what is broken, cut off or not ours is told as such.
+//! Records are read back as they were written; invalid, truncated and foreign files are detected.
 
 use pearfork_record::{read, write, HostClassCounts, RecordHeader, Recording, ScenarioEvent};
 use pearfork_rulecheck::wire::Header;
@@ -17,7 +17,7 @@
         sent,
         header: header(op, extra),
     };
-    let whats = vec![
+    let kinds = vec![
         TraceEventKind::NodeStarted { node: 1, shard: 0, zone: 0, cold: false, units_per_s: 500.25 },
         TraceEventKind::NodeListed { host: 0, node: 1, ready: true, started_ms: 1e12 + 0.5 },
         pdu(Endpoint::Client { host: 0 }, true, 1, 0),
@@ -27,7 +27,7 @@
         TraceEventKind::HostKilled { host: 1 },
         TraceEventKind::Closed { stream: 3 },
     ];
-    let notes = whats.into_iter().enumerate().map(|(i, kind)| TraceEvent { at_us: i as u64 * 10, kind });
+    let events = kinds.into_iter().enumerate().map(|(i, kind)| TraceEvent { at_us: i as u64 * 10, kind });
     Recording {
         header: RecordHeader {
             name: "a \"day\"\n".to_owned(),
@@ -36,10 +36,10 @@
             ..RecordHeader::default()
         },
         scenario_events: vec![ScenarioEvent { at_us: 5, text: "Hang node 2 begins".to_owned() }],
-        events: notes.collect(),
+        events: events.collect(),
         host_counts: vec![HostClassCounts {
             class: "write".to_owned(),
-            taken: 4,
+            accepted: 4,
             ..HostClassCounts::default()
         }],
         complete: true,
@@ -50,67 +50,73 @@
     write(Vec::new(), &sample()).unwrap()
 }
 
-fn told(bytes: &[u8]) -> String {
-    read(bytes).expect_err("a fault").to_string()
+fn error_of(bytes: &[u8]) -> String {
+    read(bytes).expect_err("an error").to_string()
 }
 
 #[test]
-fn a_record_comes_back_as_it_was_written() {
-    let mut want = sample();
-    want.header.pearfork_record = 1;
-    assert_eq!(read(&written()[..]).unwrap(), want);
+fn a_record_is_read_back_as_it_was_written() {
+    let mut expected = sample();
+    expected.header.pearfork_record = 1;
+    assert_eq!(read(&written()[..]).unwrap(), expected);
 }
 
 #[test]
-fn a_record_cut_off_anywhere_is_read_as_far_as_it_goes_and_is_not_whole() {
-    let all = written();
-    let head = all.iter().position(|b| *b == b'\n').unwrap();
-    let last = all[..all.len() - 1].iter().rposition(|b| *b == b'\n').unwrap();
-    for cut in 0..all.len() {
-        match read(&all[..cut]) {
-            // Danger: half a record judged as a whole one finds commands without answers that were answered.
-            Ok(part) => assert!(!part.complete && cut > head, "cut at {cut}"),
-            Err(_) => assert!(cut <= head, "cut at {cut}"),
+fn a_truncated_record_is_read_up_to_its_last_whole_line_and_is_not_complete() {
+    let bytes = written();
+    let header_end = bytes.iter().position(|b| *b == b'\n').unwrap();
+    let trailer_start = bytes[..bytes.len() - 1].iter().rposition(|b| *b == b'\n').unwrap();
+    for cut in 0..bytes.len() {
+        match read(&bytes[..cut]) {
+            // In a truncated record that counts as complete, answered commands would look unanswered.
+            Ok(part) => assert!(!part.complete && cut > header_end, "cut at {cut}"),
+            Err(_) => assert!(cut <= header_end, "cut at {cut}"),
         }
     }
-    assert_eq!(read(&all[..=last]).unwrap().events, sample().events);
+    assert_eq!(read(&bytes[..=trailer_start]).unwrap().events, sample().events);
 }
 
 #[test]
-fn changed_lines_are_found_and_faults_name_their_line() {
+fn changed_lines_are_detected_and_errors_name_their_line() {
     let text = String::from_utf8(written()).unwrap();
-    assert!(told(text.replace("\"taken\":4", "\"taken\":5").as_bytes()).contains("checksum is another"));
+    assert!(error_of(text.replace("\"taken\":4", "\"taken\":5").as_bytes()).contains("checksum mismatch"));
     let without: Vec<&str> = text.lines().filter(|l| !l.contains("closed")).collect();
-    let told_of_lines = told((without.join("\n") + "\n").as_bytes());
-    assert!(told_of_lines.starts_with("line 11: tells of 11 lines, and 10 are here"), "{told_of_lines}");
-    assert!(told(b"").contains("is empty"));
-    assert!(told(b"[host]\nnumber = 0\n").starts_with("line 1: is no line of a record"));
+    let line_count_error = error_of((without.join("\n") + "\n").as_bytes());
     assert!(
-        told(text.replace("\"pearfork_record\":1", "\"pearfork_record\":9").as_bytes()).contains("format 9")
+        line_count_error.starts_with("line 11: the trailer counts 11 lines, the record has 10"),
+        "{line_count_error}"
     );
-    let late = text.replacen("\"at_us\":70", "\"at_us\":1", 1);
+    assert!(error_of(b"").contains("is empty"));
+    assert!(error_of(b"[host]\nnumber = 0\n").starts_with("line 1: not a line of a record"));
+    assert!(error_of(text.replace("\"pearfork_record\":1", "\"pearfork_record\":9").as_bytes())
+        .contains("format 9"));
+    let unordered = text.replacen("\"at_us\":70", "\"at_us\":1", 1);
     assert!(
-        told(late.as_bytes()).starts_with("line 10: notes are in the order"),
+        error_of(unordered.as_bytes()).starts_with("line 10: events must be in the order"),
         "{}",
-        told(late.as_bytes())
+        error_of(unordered.as_bytes())
+    );
+    assert!(error_of(format!("{text}x").as_bytes()).contains("data after the trailer"));
+    let duplicate = text.replacen('\n', &format!("\n{}\n", text.lines().next().unwrap()), 1);
+    assert!(error_of(duplicate.as_bytes()).starts_with("line 2: duplicate header"));
+    let short_header = text.replacen("\"header\":\"01", "\"header\":\"", 1);
+    assert!(
+        error_of(short_header.as_bytes()).contains("a header has 48 to 1068 bytes"),
+        "{}",
+        error_of(short_header.as_bytes())
     );
-    assert!(told(format!("{text}x").as_bytes()).contains("stands after the end"));
-    let twice = text.replacen('\n', &format!("\n{}\n", text.lines().next().unwrap()), 1);
-    assert!(told(twice.as_bytes()).starts_with("line 2: a second head"));
-    let short = text.replacen("\"header\":\"01", "\"header\":\"", 1);
-    assert!(told(short.as_bytes()).contains("a header has 48 to 1068 bytes"), "{}", told(short.as_bytes()));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_bytes_come_it_ends(at in 0usize..2000, to in any::<u8>(), cut in 0usize..3000) {
+    fn reading_arbitrary_bytes_terminates(at in 0usize..2000, to in any::<u8>(), cut in 0usize..3000) {
         let mut bytes = written();
         let at = at % bytes.len();
         bytes[at] = to;
         bytes.truncate(cut.max(1));
-        // Either an error or a record; a byte changed in a record that still reads as whole is found by its checksum.
+        // A changed byte gives an error or a record that is not complete, because of the checksum.
         if let Ok(r) = read(&bytes[..]) {
             prop_assert!(!r.complete || bytes == written());
         }
