--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -1,5 +1,6 @@
-//! Checks files by the very code that a host starts by: [`HostSettings::load`] for settings, the compiler for rule files,
-//! [`Day::from_toml`] for days. There is no second opinion here.
+//! Checks files with the code that a host and a scenario run load them with, so that both accept the same
+//! files: [`HostSettings::load`] for settings, the compiler of matching rules, [`Scenario::from_toml`] for
+//! scenarios.
 
 pub mod request;
 
@@ -9,7 +10,7 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// What a file is.
+/// Kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -17,38 +18,40 @@
     Settings,
     /// Matching rules.
     Rules,
-    /// A scripted day.
-    Day,
+    /// A scenario.
+    #[serde(rename = "day")]
+    Scenario,
 }
 
-/// What came of a file.
+/// Result of checking a file.
 #[derive(Clone, Debug, Serialize)]
 pub struct FileCheck {
-    /// Its path.
+    /// Path of the file.
     pub file: String,
-    /// What it was taken for; `None` where it could not be read.
+    /// Kind of the file; `None` where it can't be read.
     pub kind: Option<Kind>,
-    /// Whether a host would start by it, or use it.
+    /// Whether a host or a scenario run would accept the file.
     #[serde(rename = "right")]
     pub valid: bool,
-    /// All faults in words, where it is not.
+    /// Error messages; empty where the file is valid.
     #[serde(rename = "faults")]
     pub errors: String,
-    /// What its writer is to be told all the same.
+    /// Warnings about a valid file.
     pub warnings: Vec<String>,
-    /// What there is to know of it.
+    /// Summary of the content.
     pub summary: String,
-    /// Of settings: the checksum of all that they say, for `pearfork-gateway serve --expect`.
+    /// Checksum of all values of a settings file, for `pearfork-gateway serve --expect`.
     pub fingerprint: Option<String>,
 }
 
-/// Checks a file of any kind: `.rules` are matching rules, TOML with a `[day]` is a day, all else settings.
+/// Checks a file: `.rules` files are matching rules, TOML files with `[day]` are scenarios, all others are
+/// settings.
 pub fn check_file(path: &Path) -> FileCheck {
     check_file_with(path, &Overrides::default())
 }
 
-/// The same with variables and flags over settings files.
-pub fn check_file_with(path: &Path, over: &Overrides) -> FileCheck {
+/// Checks a file as [`check_file`] does, with overrides applied to settings files.
+pub fn check_file_with(path: &Path, overrides: &Overrides) -> FileCheck {
     let name = path.display().to_string();
     let check = |kind, errors: String, warnings, summary: String| FileCheck {
         file: name.clone(),
@@ -66,10 +69,10 @@
     if path.extension().is_some_and(|e| e == "rules") {
         return match Rules::compile(&text) {
             Ok(rules) => {
-                let told = rules.warnings();
-                let words = told.render(&name, &text, Severity::Warning);
-                let warnings = if told.0.is_empty() { Vec::new() } else { vec![words] };
-                check(Some(Kind::Rules), String::new(), warnings, of_rules(&rules))
+                let warnings = rules.warnings();
+                let rendered = warnings.render(&name, &text, Severity::Warning);
+                let warnings = if warnings.0.is_empty() { Vec::new() } else { vec![rendered] };
+                check(Some(Kind::Rules), String::new(), warnings, summarize_rules(&rules))
             }
             Err(errors) => check(
                 Some(Kind::Rules),
@@ -79,38 +82,41 @@
             ),
         };
     }
-    let is_day = std::str::from_utf8(&text)
+    let is_scenario = std::str::from_utf8(&text)
         .ok()
         .and_then(|t| t.parse::<toml::Table>().ok())
         .is_some_and(|t| t.contains_key("day") && !t.contains_key("host"));
-    if is_day {
-        let told = Scenario::from_toml(&String::from_utf8_lossy(&text));
-        let errors = told.as_ref().err().map_or(String::new(), |e| format!("{name}: {e}"));
-        let summary = told.map_or(String::new(), |d| {
-            format!("{} events, {} kinds of clients", d.events.len(), d.clients.len())
+    if is_scenario {
+        let scenario = Scenario::from_toml(&String::from_utf8_lossy(&text));
+        let errors = scenario.as_ref().err().map_or(String::new(), |e| format!("{name}: {e}"));
+        let summary = scenario.map_or(String::new(), |s| {
+            format!("{} events, {} client types", s.events.len(), s.clients.len())
         });
-        return check(Some(Kind::Day), errors, Vec::new(), summary);
+        return check(Some(Kind::Scenario), errors, Vec::new(), summary);
     }
-    match HostSettings::load_with(path, over) {
-        Ok(plan) => {
+    match HostSettings::load_with(path, overrides) {
+        Ok(settings) => {
             let summary = format!(
                 "{} classes and routes, {} plans, {} volumes; {}; fingerprint {}",
-                plan.class_names.len(),
-                plan.plan_names.len(),
-                plan.volumes.len(),
-                of_rules(plan.matching.rules()),
-                plan.provenance.fingerprint()
+                settings.class_names.len(),
+                settings.plan_names.len(),
+                settings.volumes.len(),
+                summarize_rules(settings.matching.rules()),
+                settings.provenance.fingerprint()
             );
-            let fingerprint = Some(plan.provenance.fingerprint());
-            FileCheck { fingerprint, ..check(Some(Kind::Settings), String::new(), plan.warnings, summary) }
+            let fingerprint = Some(settings.provenance.fingerprint());
+            FileCheck {
+                fingerprint,
+                ..check(Some(Kind::Settings), String::new(), settings.warnings, summary)
+            }
         }
         Err(errors) => check(Some(Kind::Settings), errors.to_string(), Vec::new(), String::new()),
     }
 }
 
-fn of_rules(rules: &Rules) -> String {
+fn summarize_rules(rules: &Rules) -> String {
     format!(
-        "{} rows of classes, {} of plans, {} steps a request at most",
+        "{} class rows, {} plan rows, at most {} steps per request",
         rules.class_rows().count(),
         rules.plan_rows().count(),
         rules.worst_steps()
--- a/crates/check/src/main.rs
+++ b/crates/check/src/main.rs
@@ -1,4 +1,4 @@
-//! `pearfork-check`: checks files, explains values and what a request would get, migrates settings, formats rules.
+//! `pearfork-check`: checks files, explains settings and requests, migrates settings, formats matching rules.
 
 use clap::{Parser, Subcommand};
 use pearfork_check::{check_file_with, request};
@@ -9,8 +9,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Checks settings, rule files and days by the code that a host starts by. Exit codes: 0 fine, 1 a file is refused or
-/// would change, 2 it could not be done.
+/// Check settings, matching rules and scenarios with the code that a host loads them with. Exit codes: 0
+/// success, 1 a file is invalid or would change, 2 the operation could not be carried out.
 #[derive(Parser)]
 #[command(name = "pearfork-check", version, about)]
 struct Arguments {
@@ -28,82 +28,82 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check files: settings, `.rules`, days.
+    /// Check files: settings, `.rules`, scenarios.
     Files {
         /// The files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Put a value over those of settings files, as a host would be started with.
+        /// Override a value of the settings files, as with the host's own `--set`.
         #[arg(long = "set", value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
-    /// Say what a value of the settings is, where it came from, and what it hides.
+    /// Show a value of the settings, its origin and the values that it overrides.
     Explain {
-        /// `rules.drain_grace`, `class.write`, `volume."a.b".size`: a value, or all of a table or entry.
+        /// Key of a value, a table or an entry: `rules.drain_grace`, `class.write`, `volume."a.b".size`.
         key: String,
         #[command(flatten)]
         settings: SettingsArguments,
     },
-    /// Print the settings as one text: includes, variables and flags put together.
+    /// Print the resolved settings as one text, with includes, variables and flags applied.
     Resolve {
         #[command(flatten)]
         settings: SettingsArguments,
     },
-    /// Write settings files of an older form anew.
+    /// Convert settings files of an older format to the current one.
     Migrate {
         /// The files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Change nothing; say what would change, and end with 1 if anything would.
+        /// Change no file; report which files would change, and exit with 1 if any would.
         #[arg(long)]
         check: bool,
     },
-    /// Say which class, plan and key a request would get, and what each test on the way gave.
+    /// Show which class, plan and key a request would get, and the result of each test that led to them.
     Request {
         #[command(flatten)]
         settings: SettingsArguments,
         #[command(flatten)]
-        asked: request::Asked,
+        asked: request::RequestArguments,
     },
-    /// Write files of matching rules in the one way.
+    /// Rewrite matching rules in the standard format.
     Format {
         /// The files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Change nothing; say what would change, and end with 1 if anything would.
+        /// Change no file; report which files would change, and exit with 1 if any would.
         #[arg(long)]
         check: bool,
     },
 }
 
 fn main() -> ExitCode {
-    pearfork_cli::run(work)
+    pearfork_cli::run(run)
 }
 
-fn work(arguments: Arguments) -> Result<Exit, String> {
+fn run(arguments: Arguments) -> Result<Exit, String> {
     let output = arguments.common.output;
     match arguments.command {
-        Command::Files { files, set } => Ok(check(&files, set, output)),
-        Command::Explain { key, settings } => value(&key, &settings, output),
-        Command::Resolve { settings } => resolve(&settings, output),
-        Command::Migrate { files, check } => migrate(&files, check, output),
-        Command::Request { settings, asked } => request(&settings, &asked, output),
-        Command::Format { files, check } => format(&files, check, output),
+        Command::Files { files, set } => Ok(check_files(&files, set, output)),
+        Command::Explain { key, settings } => explain_value(&key, &settings, output),
+        Command::Resolve { settings } => print_resolved(&settings, output),
+        Command::Migrate { files, check } => migrate_files(&files, check, output),
+        Command::Request { settings, asked } => explain_request(&settings, &asked, output),
+        Command::Format { files, check } => format_files(&files, check, output),
     }
 }
 
 fn load(settings: &SettingsArguments) -> Result<HostSettings, String> {
     HostSettings::load_with(&settings.config, &settings.overrides())
-        .map_err(|e| format!("the settings are refused\n{e}"))
+        .map_err(|e| format!("invalid settings\n{e}"))
 }
 
-fn check(files: &[PathBuf], set: Vec<String>, output: Output) -> Exit {
-    let over = pearfork_cli::overrides(set);
-    let mut end = Exit::Success;
+fn check_files(files: &[PathBuf], set: Vec<String>, output: Output) -> Exit {
+    let overrides = pearfork_cli::overrides(set);
+    let mut worst_exit = Exit::Success;
     for path in files {
-        let v = check_file_with(path, &over);
+        let v = check_file_with(path, &overrides);
         let warnings: String = v.warnings.iter().map(|w| format!("{w}\n")).collect();
-        let words = if v.valid {
+        let text = if v.valid {
             format!(
                 "{}: {}; {}\n{warnings}",
                 v.file,
@@ -113,29 +113,29 @@
         } else {
             format!("{}: {}\n{}\n", v.file, output.highlight(Highlight::Error, "refused"), v.errors)
         };
-        output.print(&v, &words);
-        let own = match (v.valid, v.kind) {
+        output.print(&v, &text);
+        let exit = match (v.valid, v.kind) {
             (true, _) => Exit::Success,
             (false, Some(_)) => Exit::Negative,
             (false, None) => Exit::Error,
         };
-        end = end.max(own);
+        worst_exit = worst_exit.max(exit);
     }
-    end
+    worst_exit
 }
 
-fn value(key: &str, settings: &SettingsArguments, output: Output) -> Result<Exit, String> {
-    let plan = load(settings)?;
-    let found = match plan.provenance.explain(key) {
-        Ok(found) => found,
+fn explain_value(key: &str, settings: &SettingsArguments, output: Output) -> Result<Exit, String> {
+    let host_settings = load(settings)?;
+    let explanations = match host_settings.provenance.explain(key) {
+        Ok(explanations) => explanations,
         Err(unknown) => {
             eprintln!("pearfork-check: {unknown}");
             return Ok(Exit::Negative);
         }
     };
-    for e in &found {
-        let hidden = |(origin, value): &(_, String)| format!("    hides {value} of {origin}\n");
-        let hides: String = e.hides.iter().map(hidden).collect();
+    for e in &explanations {
+        let format_hidden = |(origin, value): &(_, String)| format!("    overrides {value} from {origin}\n");
+        let hides: String = e.hides.iter().map(format_hidden).collect();
         output.print(e, &format!("{} = {}  ({})\n{hides}", e.key, e.value, e.origin));
     }
     Ok(Exit::Success)
@@ -148,75 +148,80 @@
     settings: &'a str,
 }
 
-fn resolve(settings: &SettingsArguments, output: Output) -> Result<Exit, String> {
-    let plan = load(settings)?;
-    let p = &plan.provenance;
+fn print_resolved(settings: &SettingsArguments, output: Output) -> Result<Exit, String> {
+    let host_settings = load(settings)?;
+    let p = &host_settings.provenance;
     let (files, fingerprint, settings) = (p.files(), p.fingerprint(), p.resolved());
-    let words = format!("# of {}; fingerprint {fingerprint}\n{settings}", files.join(", "));
-    output.print(&Resolved { files, fingerprint, settings }, &words);
+    let text = format!("# of {}; fingerprint {fingerprint}\n{settings}", files.join(", "));
+    output.print(&Resolved { files, fingerprint, settings }, &text);
     Ok(Exit::Success)
 }
 
-fn request(settings: &SettingsArguments, asked: &request::Asked, output: Output) -> Result<Exit, String> {
-    let plan = load(settings)?;
-    let answer = request::explain(&plan, asked)?;
-    output.print(&answer, &answer.words);
+fn explain_request(
+    settings: &SettingsArguments,
+    asked: &request::RequestArguments,
+    output: Output,
+) -> Result<Exit, String> {
+    let host_settings = load(settings)?;
+    let explanation = request::explain(&host_settings, asked)?;
+    output.print(&explanation, &explanation.text);
     Ok(Exit::Success)
 }
 
 #[derive(Serialize)]
-struct Rewritten<'a> {
+struct RewriteResult<'a> {
     file: &'a str,
     changes: bool,
 }
 
-/// Writes files in another way. `check` changes nothing.
-fn rewrite(
+/// Rewrites the files that `convert` changes. With `check` it only reports them.
+fn rewrite_files(
     files: &[PathBuf],
     check: bool,
     output: Output,
-    anew: impl Fn(&str, &[u8]) -> Result<Option<String>, String>,
+    convert: impl Fn(&str, &[u8]) -> Result<Option<String>, String>,
 ) -> Result<Exit, String> {
-    let mut end = Exit::Success;
+    let mut worst_exit = Exit::Success;
     for path in files {
         let name = path.display().to_string();
         let text = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
-        let written = anew(&name, &text)?.filter(|w| w.as_bytes() != text);
+        let written = convert(&name, &text)?.filter(|w| w.as_bytes() != text);
         let changes = written.is_some();
-        let words = match (changes, check) {
-            (false, _) => format!("{name} stays as it is\n"),
-            (true, true) => format!("{name} would change\n"),
-            (true, false) => format!("{name} written anew\n"),
+        let text = match (changes, check) {
+            (false, _) => format!("{name}: unchanged\n"),
+            (true, true) => format!("{name}: would change\n"),
+            (true, false) => format!("{name}: rewritten\n"),
         };
-        output.print(&Rewritten { file: &name, changes }, &words);
+        output.print(&RewriteResult { file: &name, changes }, &text);
         match written {
-            Some(_) if check => end = Exit::Negative,
-            Some(written) => replace(path, &written).map_err(|e| format!("{name}: {e}"))?,
+            Some(_) if check => worst_exit = Exit::Negative,
+            Some(written) => replace_file(path, &written).map_err(|e| format!("{name}: {e}"))?,
             None => {}
         }
     }
-    Ok(end)
+    Ok(worst_exit)
 }
 
-/// Danger: a write that breaks off would leave half a file; the new one takes its place as a whole.
-fn replace(path: &Path, written: &str) -> std::io::Result<()> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    std::fs::write(&beside, written).and_then(|()| std::fs::rename(&beside, path))
+/// Replaces a file by renaming a complete temporary file, so that an interrupted write leaves no partial
+/// file.
+fn replace_file(path: &Path, written: &str) -> std::io::Result<()> {
+    let mut temporary_path = path.as_os_str().to_owned();
+    temporary_path.push(".new");
+    std::fs::write(&temporary_path, written).and_then(|()| std::fs::rename(&temporary_path, path))
 }
 
-fn migrate(files: &[PathBuf], check: bool, output: Output) -> Result<Exit, String> {
-    rewrite(files, check, output, |name, text| {
+fn migrate_files(files: &[PathBuf], check: bool, output: Output) -> Result<Exit, String> {
+    rewrite_files(files, check, output, |name, text| {
         let text = std::str::from_utf8(text).map_err(|e| format!("{name}: {e}"))?;
-        pearfork_host::settings::migrate(text).map_err(|e| format!("{name} stays as it is\n{e}"))
+        pearfork_host::settings::migrate(text).map_err(|e| format!("{name}: not migrated\n{e}"))
     })
 }
 
-fn format(files: &[PathBuf], check: bool, output: Output) -> Result<Exit, String> {
-    rewrite(files, check, output, |name, text| {
-        let told = |f: pearfork_match::Diagnostics| {
-            format!("{name} stays as it is\n{}", f.render(name, text, Severity::Error))
+fn format_files(files: &[PathBuf], check: bool, output: Output) -> Result<Exit, String> {
+    rewrite_files(files, check, output, |name, text| {
+        let describe = |f: pearfork_match::Diagnostics| {
+            format!("{name}: not formatted\n{}", f.render(name, text, Severity::Error))
         };
-        pearfork_match::format(text).map(Some).map_err(told)
+        pearfork_match::format(text).map(Some).map_err(describe)
     })
 }
--- a/crates/check/src/request.rs
+++ b/crates/check/src/request.rs
@@ -1,4 +1,4 @@
-//! What the matching rules say of a request, in words.
+//! Explains which class, plan and key the matching rules give a request.
 
 use pearfork_host::settings::HostSettings;
 use pearfork_match::{RowTrace, Span};
@@ -6,22 +6,22 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Rows that are shown where more were tried.
-const MOST_ROWS: usize = 40;
+/// Maximum number of rows that are shown without `--all`.
+const MAX_SHOWN_ROWS: usize = 40;
 
-/// A request to be explained.
+/// The request to be explained.
 #[derive(clap::Args)]
-pub struct Asked {
-    /// read, write, verify, flush or compare-and-write.
+pub struct RequestArguments {
+    /// Operation: read, write, verify, flush or compare-and-write.
     #[arg(long)]
     op: String,
     /// First block.
     #[arg(long, default_value_t = 0)]
     lba: u64,
-    /// Blocks.
+    /// Number of blocks.
     #[arg(long, default_value_t = 8)]
     blocks: u32,
-    /// Name of the volume; the first of the file where absent.
+    /// Name of the volume; the default is the first one of the settings.
     #[arg(long)]
     volume: Option<String>,
     /// Name of the initiator.
@@ -36,82 +36,94 @@
     /// Time of day, such as `90min` or `22h`.
     #[arg(long, default_value = "0s")]
     time: pearfork_host::units::Span,
-    /// Show every row that was tried, however many.
+    /// Show all rows that were evaluated.
     #[arg(long)]
     all: bool,
 }
 
-/// What a request would get.
+/// The class, plan and key of a request.
 #[derive(Serialize)]
-pub struct Answer {
-    /// Class or route.
+pub struct RequestExplanation {
+    /// Name of the class or route.
     pub class: String,
-    /// Plan.
+    /// Name of the plan.
     pub plan: String,
     /// Key, where the rules give one.
     pub key: Option<u64>,
-    /// Steps for its class.
+    /// Steps that the rules took to find the class.
     pub steps: u64,
-    /// Steps of any request with plan and key, at the most.
+    /// Maximum number of steps of any request, including its plan and key.
     pub worst_steps: u64,
-    /// How the rules came to it, in words.
-    pub words: String,
+    /// Explanation of the result.
+    #[serde(rename = "words")]
+    pub text: String,
 }
 
-/// How the rules come to their answer.
+/// Explains how the rules classify a request.
 ///
 /// # Errors
-/// A volume or operation that there is not.
-pub fn explain(plan: &HostSettings, asked: &Asked) -> Result<Answer, String> {
-    let named = |name: &str| asked.volume.as_deref().is_none_or(|asked| asked == name);
-    let found = plan.volumes.iter().find(|v| named(&v.name));
-    let v = found.ok_or_else(|| format!("there is no volume `{}`", asked.volume.as_deref().unwrap_or("")))?;
-    let op = match asked.op.as_str() {
+/// There is no such volume or operation.
+pub fn explain(settings: &HostSettings, arguments: &RequestArguments) -> Result<RequestExplanation, String> {
+    let is_selected = |name: &str| arguments.volume.as_deref().is_none_or(|selected| selected == name);
+    let volume = settings.volumes.iter().find(|volume| is_selected(&volume.name));
+    let volume = volume
+        .ok_or_else(|| format!("there is no volume `{}`", arguments.volume.as_deref().unwrap_or("")))?;
+    let op = match arguments.op.as_str() {
         "read" => MediaOp::Read,
         "write" => MediaOp::Write,
         "verify" => MediaOp::Verify { compare: false },
         "flush" => MediaOp::Flush,
         "compare-and-write" => MediaOp::CompareAndWrite,
-        other => return Err(format!("`{other}` is no operation")),
+        other => {
+            return Err(format!(
+                "unknown operation `{other}`: expected read, write, verify, flush or compare-and-write"
+            ))
+        }
     };
-    let media = MediaCommand { op, lba: asked.lba, blocks: asked.blocks, fua: asked.fua, group: asked.group };
-    let fields = plan.fields_of(v, &media, &asked.initiator, asked.time.ms());
-    let explained = plan.matching.rules().explain(&fields);
-    let mut out = String::new();
-    for (name, value) in &explained.lets {
-        let _ = writeln!(out, "let {name} = {value}");
+    let command = MediaCommand {
+        op,
+        lba: arguments.lba,
+        blocks: arguments.blocks,
+        fua: arguments.fua,
+        group: arguments.group,
+    };
+    let fields = settings.fields_of(volume, &command, &arguments.initiator, arguments.time.ms());
+    let explanation = settings.matching.rules().explain(&fields);
+    let mut text = String::new();
+    for (name, value) in &explanation.lets {
+        let _ = writeln!(text, "let {name} = {value}");
     }
-    let shown = if asked.all { explained.rows.len() } else { MOST_ROWS };
-    let hidden = explained.rows.len().saturating_sub(shown);
-    if hidden > 0 {
-        let _ = writeln!(out, "{hidden} rows before these do not match; --all shows them");
+    let shown_count = if arguments.all { explanation.rows.len() } else { MAX_SHOWN_ROWS };
+    let hidden_count = explanation.rows.len().saturating_sub(shown_count);
+    if hidden_count > 0 {
+        let _ = writeln!(text, "{hidden_count} earlier rows do not match; --all shows them");
     }
-    for tried in &explained.rows[hidden..] {
-        row(&mut out, tried, |span| plan.matching.source_at(span));
+    for row in &explanation.rows[hidden_count..] {
+        write_row(&mut text, row, |span| settings.matching.source_at(span));
     }
-    let class = plan.class_names[usize::from(plan.matching.class_of(&fields))].clone();
-    let plan_number = usize::from(plan.matching.plan_of(&fields).unwrap_or(v.plan));
-    let (name, key) = (plan.plan_names[plan_number].clone(), plan.matching.key_of(&fields));
-    let key_words = key.map_or("its extent".to_owned(), |k| k.to_string());
-    let (steps, worst_steps) = (explained.steps, plan.matching.rules().worst_steps());
-    let _ = writeln!(out, "class {class}, plan {name}, key {key_words}");
+    let class = settings.class_names[usize::from(settings.matching.class_of(&fields))].clone();
+    let plan_index = usize::from(settings.matching.plan_of(&fields).unwrap_or(volume.plan));
+    let (name, key) = (settings.plan_names[plan_index].clone(), settings.matching.key_of(&fields));
+    let key_text = key.map_or("its extent".to_owned(), |k| k.to_string());
+    let (steps, worst_steps) = (explanation.steps, settings.matching.rules().worst_steps());
+    let _ = writeln!(text, "class {class}, plan {name}, key {key_text}");
     let _ = writeln!(
-        out,
-        "steps for the class: {steps}; for any request, with plan and key: {worst_steps} at most"
+        text,
+        "steps for the class: {steps}; maximum of any request, including plan and key: {worst_steps}"
     );
-    Ok(Answer { class, plan: name, key, steps, worst_steps, words: out })
+    Ok(RequestExplanation { class, plan: name, key, steps, worst_steps, text })
 }
 
-fn row<'a>(out: &mut String, tried: &RowTrace, written: impl Fn(Span) -> (usize, &'a str)) {
-    let (line, _) = written(tried.span);
-    let verdict = if tried.matched { "matches" } else { "does not match" };
-    let _ = writeln!(out, "line {line}: class \"{}\" {verdict}, {} steps", tried.class, tried.steps);
-    for test in &tried.tests {
-        let (_, text) = written(test.span);
+fn write_row<'a>(output: &mut String, row: &RowTrace, source_at: impl Fn(Span) -> (usize, &'a str)) {
+    let (line, _) = source_at(row.span);
+    let verdict = if row.matched { "matches" } else { "does not match" };
+    let _ = writeln!(output, "line {line}: class \"{}\" {verdict}, {} steps", row.class, row.steps);
+    for test in &row.tests {
+        let (_, text) = source_at(test.span);
         let _ = match &test.operands[..] {
-            [] => writeln!(out, "    {:<5}  {text}", test.outcome),
-            [one] => writeln!(out, "    {:<5}  {text}    of {one}", test.outcome),
-            all => writeln!(out, "    {:<5}  {text}    of {}", test.outcome, all.join(" and ")),
+            [] => writeln!(output, "    {:<5}  {text}", test.outcome),
+            [one] => writeln!(output, "    {:<5}  {text}    of {one}", test.outcome),
+            all => writeln!(output, "    {:<5}  {text}    of {}", test.outcome, all.join(" and ")),
         };
     }
 }
