--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -3,7 +3,7 @@
 use clap::Parser;
 use pearfork_cli::{CommonArguments, Exit};
 use pearfork_replay::read_file;
-use pearfork_report::account::account;
+use pearfork_report::report::account;
 use pearfork_report::page;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -1,6 +1,6 @@
 //! Lays an account out: a page that needs no network, or text.
 
-use crate::account::Account;
+use crate::report::Account;
 use crate::plot::{curves, Curve, Moment};
 use minijinja::{context, AutoEscape, Environment};
 
@@ -44,7 +44,7 @@
 pub fn html(account: &Account) -> Result<String, minijinja::Error> {
     let moments: Vec<Moment> =
         account.scenario_events.iter().map(|s| Moment { at_s: s.at_us as f64 / 1e6 }).collect();
-    let by_second = |f: fn(&crate::account::Second) -> f64| account.seconds.iter().map(f).collect();
+    let by_second = |f: fn(&crate::report::Second) -> f64| account.seconds.iter().map(f).collect();
     let answers = [
         Curve { name: "sent", values: by_second(|s| s.ends.sent as f64) },
         Curve { name: "served", values: by_second(|s| s.ends.served as f64) },
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -3,7 +3,7 @@
 use pearfork_day::scenario::Scenario;
 use pearfork_day::{run_scenario, DEMO};
 use pearfork_host::settings::HostSettings;
-use pearfork_report::account::{account, Ends};
+use pearfork_report::report::{account, Ends};
 use pearfork_report::page;
 
 const DAY: &str = "[day]\nlength = \"3s\"\nseed = 3\nhosts = 2\nmargin = \"500ms\"\n[nodes]\ncount = 4\nracks = 2\ncores = 2\n\
