--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,4 +1,5 @@
-//! Judges a recorded day again. The rules are those of `pearfork-rulecheck`, the settings those in the record.
+//! Checks the seven rules against a recorded scenario run, with `pearfork-rulecheck` and the settings in the
+//! record.
 
 use pearfork_day::check_recording;
 use pearfork_day::summary::{rule_summaries, RuleSummary};
@@ -8,46 +9,48 @@
 use std::io::BufReader;
 use std::path::Path;
 
-/// What a record tells.
+/// Result of checking a record.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ReplayResult {
-    /// What was played.
+    /// Name of the scenario.
     pub name: String,
-    /// Hosts that took part.
+    /// Number of hosts.
     pub hosts: u16,
-    /// Notes in the record.
-    pub notes: usize,
-    /// Whether it is whole. One that was cut off may hold commands whose answers it does not hold.
+    /// Number of trace events in the record.
+    #[serde(rename = "notes")]
+    pub events: usize,
+    /// Whether the record is complete. A truncated one may lack the final answers of commands that it holds.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// Whether all rules were kept.
-    pub kept: bool,
-    /// The seven rules.
+    /// Whether no rule was broken.
+    #[serde(rename = "kept")]
+    pub passed: bool,
+    /// The results of the seven rules.
     pub rules: Vec<RuleSummary>,
 }
 
 /// Reads a record file.
 ///
 /// # Errors
-/// The file and line, in words.
+/// The file can't be opened or a line is invalid; the message names the file and the line.
 pub fn read_file(path: &Path) -> Result<Recording, String> {
     let name = path.display();
     let file = File::open(path).map_err(|e| format!("{name}: {e}"))?;
     read(BufReader::new(file)).map_err(|e| format!("{name}: {e}"))
 }
 
-/// Judges a record.
+/// Checks the rules against a record.
 ///
 /// # Errors
-/// Its settings make no plan, in words.
+/// The settings in the record are invalid.
 pub fn replay(recording: &Recording) -> Result<ReplayResult, String> {
     let report = check_recording(recording).map_err(|e| e.to_string())?.report;
     Ok(ReplayResult {
         name: recording.header.name.clone(),
         hosts: recording.header.hosts,
-        notes: recording.events.len(),
+        events: recording.events.len(),
         complete: recording.complete,
-        kept: report.passed(),
+        passed: report.passed(),
         rules: rule_summaries(&report),
     })
 }
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! `pearfork-replay`: proves the seven rules from recorded days.
+//! `pearfork-replay`: checks the seven rules against recorded scenario runs.
 
 use clap::Parser;
 use pearfork_cli::{CommonArguments, Exit, Highlight};
@@ -7,17 +7,18 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Proves the seven rules from records that `pearfork-day --record` wrote. Exit codes: 0 all rules kept, 1 one was broken, 2
-/// a record can't be judged.
+/// Check the seven rules against records written by `pearfork-day --record`. Exit codes: 0 no rule is broken,
+/// 1 a rule is broken, 2 a record can't be checked.
 #[derive(Parser)]
 #[command(name = "pearfork-replay", version, about)]
 struct Arguments {
     #[command(flatten)]
     common: CommonArguments,
-    /// Records.
+    /// The record files.
     #[arg(required = true)]
     records: Vec<PathBuf>,
-    /// Judge a record that was cut off as far as it goes. What it does not hold looks like a broken promise.
+    /// Check truncated records as well. Commands whose final answers are missing from them look like
+    /// violations.
     #[arg(long)]
     cut_off: bool,
 }
@@ -34,24 +35,32 @@
 
 fn run(a: &Arguments) -> Result<Exit, String> {
     let output = a.common.output;
-    let mut end = Exit::Success;
+    let mut worst_exit = Exit::Success;
     for path in &a.records {
         let recording = read_file(path)?;
         if !recording.complete && !a.cut_off {
             return Err(format!(
-                "{}: was cut off after {} notes; --cut-off judges it as far as it goes",
+                "{}: truncated after {} events; --cut-off checks the part that is there",
                 path.display(),
                 recording.events.len()
             ));
         }
-        let told = replay(&recording).map_err(|e| format!("{}: {e}", path.display()))?;
-        let cut = if told.complete { "" } else { ", cut off" };
-        let head =
-            format!("{}: {}, {} hosts, {} notes{cut}", path.display(), told.name, told.hosts, told.notes);
-        let words =
-            format!("{}\n{}", output.highlight(Highlight::Heading, &head), rules_table(&told.rules, output));
-        output.print(&told, &words);
-        end = end.max(if told.kept { Exit::Success } else { Exit::Negative });
+        let result = replay(&recording).map_err(|e| format!("{}: {e}", path.display()))?;
+        let truncation = if result.complete { "" } else { ", truncated" };
+        let heading = format!(
+            "{}: {}, {} hosts, {} events{truncation}",
+            path.display(),
+            result.name,
+            result.hosts,
+            result.events
+        );
+        let text = format!(
+            "{}\n{}",
+            output.highlight(Highlight::Heading, &heading),
+            rules_table(&result.rules, output)
+        );
+        output.print(&result, &text);
+        worst_exit = worst_exit.max(if result.passed { Exit::Success } else { Exit::Negative });
     }
-    Ok(end)
+    Ok(worst_exit)
 }
