--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,4 +1,4 @@
-//! A report of a recorded day. [`report`] counts, [`plot`] draws, [`page`] lays out; none does I/O.
+//! Reports on recorded scenario runs. [`report`] counts, [`plot`] draws, [`page`] renders; none does I/O.
 
 pub mod page;
 pub mod plot;
--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -1,23 +1,24 @@
-//! `pearfork-report`: a report of a recorded day.
+//! `pearfork-report`: reports on a recorded scenario run.
 
 use clap::Parser;
 use pearfork_cli::{CommonArguments, Exit};
 use pearfork_replay::read_file;
-use pearfork_report::report::account;
 use pearfork_report::page;
+use pearfork_report::report::build_report;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A report of a record that `pearfork-day --record` wrote: text or JSON on standard output, or a page that needs no
-/// network. Exit codes: 0 fine, 1 a rule was broken in it, 2 it can't be read or the page can't be written.
+/// Report on a record written by `pearfork-day --record`: text or JSON on standard output, or a
+/// self-contained HTML page. Exit codes: 0 no rule is broken, 1 a rule is broken, 2 the record can't be read
+/// or the page can't be written.
 #[derive(Parser)]
 #[command(name = "pearfork-report", version, about)]
 struct Arguments {
     #[command(flatten)]
     common: CommonArguments,
-    /// The record.
+    /// The record file.
     record: PathBuf,
-    /// Write a page here.
+    /// Write an HTML page to this file.
     #[arg(long)]
     html: Option<PathBuf>,
 }
@@ -34,13 +35,13 @@
 
 fn run(a: &Arguments) -> Result<Exit, String> {
     let recording = read_file(&a.record)?;
-    let account = account(&recording).map_err(|e| format!("{}: {e}", a.record.display()))?;
+    let report = build_report(&recording).map_err(|e| format!("{}: {e}", a.record.display()))?;
     match &a.html {
         Some(path) => {
-            let page = page::html(&account).map_err(|e| e.to_string())?;
+            let page = page::html(&report).map_err(|e| e.to_string())?;
             std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))?;
         }
-        None => a.common.output.print(&account, &page::text(&account).map_err(|e| e.to_string())?),
+        None => a.common.output.print(&report, &page::text(&report).map_err(|e| e.to_string())?),
     }
-    Ok(if account.kept { Exit::Success } else { Exit::Negative })
+    Ok(if report.passed { Exit::Success } else { Exit::Negative })
 }
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,25 +1,25 @@
-//! Curves over the seconds of a day as SVG, which stands in the page itself.
+//! Line charts over the seconds of a run as inline SVG.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// A curve.
+/// A curve of a chart.
 #[derive(Clone, Debug)]
 pub struct Curve<'a> {
-    /// What it is called in the legend.
+    /// Name in the legend.
     pub name: &'a str,
-    /// A value for each second.
+    /// One value per second.
     pub values: Vec<f64>,
 }
 
-/// A moment worth a mark.
+/// A vertical line at the time of an event.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
-    /// Seconds.
+pub struct EventMark {
+    /// Time of the event in seconds.
     pub at_s: f64,
 }
 
-/// Colours that people who see few of them can tell apart (Okabe and Ito).
+/// Colors that can be told apart with color vision deficiency (Okabe and Ito).
 const COLORS: [RGBColor; 7] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
@@ -29,34 +29,41 @@
     RGBColor(86, 180, 233),
     RGBColor(0, 0, 0),
 ];
-const SIZE: (u32, u32) = (900, 260);
+const IMAGE_SIZE: (u32, u32) = (900, 260);
 
-/// Draws curves with marks; an empty text where there is nothing to draw.
-pub fn curves(y_name: &str, curves: &[Curve<'_>], moments: &[Moment]) -> String {
-    let seconds = curves.iter().map(|c| c.values.len()).max().unwrap_or(0);
-    if seconds == 0 {
+/// Draws curves and event marks as SVG. Returns an empty string if the curves have no values.
+pub fn draw_curves(y_label: &str, curves: &[Curve<'_>], event_marks: &[EventMark]) -> String {
+    let second_count = curves.iter().map(|c| c.values.len()).max().unwrap_or(0);
+    if second_count == 0 {
         return String::new();
     }
-    let top = curves.iter().flat_map(|c| &c.values).copied().filter(|v| v.is_finite()).fold(0.0, f64::max);
-    let mut out = String::new();
+    let y_max = curves.iter().flat_map(|c| &c.values).copied().filter(|v| v.is_finite()).fold(0.0, f64::max);
+    let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut out, SIZE).into_drawing_area();
-        // Drawing into a text fails on nothing that is ours to mend; what was drawn stands.
-        let _ = draw(&area, y_name, curves, moments, seconds, if top > 0.0 { top * 1.08 } else { 1.0 });
+        let area = SVGBackend::with_string(&mut svg, IMAGE_SIZE).into_drawing_area();
+        // Drawing into a string does not fail on I/O. After any other error the part that was drawn is kept.
+        let _ = draw_chart(
+            &area,
+            y_label,
+            curves,
+            event_marks,
+            second_count,
+            if y_max > 0.0 { y_max * 1.08 } else { 1.0 },
+        );
     }
-    out
+    svg
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-fn draw<'a>(
+fn draw_chart<'a>(
     area: &DrawingArea<SVGBackend<'a>, Shift>,
-    y_name: &str,
+    y_label: &str,
     curves: &[Curve<'_>],
-    moments: &[Moment],
-    seconds: usize,
-    top: f64,
-) -> Drawn
+    event_marks: &[EventMark],
+    second_count: usize,
+    y_max: f64,
+) -> DrawResult
 where
     <SVGBackend<'a> as DrawingBackend>::ErrorType: 'static,
 {
@@ -64,16 +71,16 @@
         .margin(8)
         .x_label_area_size(34)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..seconds as f64, 0.0..top)?;
+        .build_cartesian_2d(0.0..second_count as f64, 0.0..y_max)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.12))
         .x_desc("seconds")
-        .y_desc(y_name)
+        .y_desc(y_label)
         .draw()?;
-    for m in moments.iter().filter(|m| m.at_s <= seconds as f64) {
-        chart.draw_series([PathElement::new([(m.at_s, 0.0), (m.at_s, top)], BLACK.mix(0.25))])?;
+    for m in event_marks.iter().filter(|m| m.at_s <= second_count as f64) {
+        chart.draw_series([PathElement::new([(m.at_s, 0.0), (m.at_s, y_max)], BLACK.mix(0.25))])?;
     }
     for (i, curve) in curves.iter().enumerate() {
         let color = COLORS[i % COLORS.len()];
@@ -93,29 +100,26 @@
     use super::*;
 
     #[test]
-    fn a_picture_holds_its_curves_and_marks_and_asks_nobody_for_anything() {
+    fn a_chart_contains_its_curves_and_marks_and_refers_to_no_other_file() {
         let values = |n: f64| (0..10).map(|i| n * f64::from(i)).collect();
-        let drawn = curves(
+        let svg = draw_curves(
             "a second",
             &[
                 Curve { name: "served <b>", values: values(2.0) },
                 Curve { name: "refused", values: values(1.0) },
             ],
-            &[Moment { at_s: 3.0 }, Moment { at_s: 99.0 }],
-        );
-        assert!(
-            drawn.starts_with("<svg") && drawn.contains("refused") && drawn.contains("seconds"),
-            "{drawn}"
+            &[EventMark { at_s: 3.0 }, EventMark { at_s: 99.0 }],
         );
-        // A name can't break out of the picture, and nothing is fetched.
-        assert!(!drawn.contains("<b>") && !drawn.contains("href"));
-        assert!(drawn.matches("<polyline").count() >= 3);
+        assert!(svg.starts_with("<svg") && svg.contains("refused") && svg.contains("seconds"), "{svg}");
+        // Names are escaped, and nothing is loaded from elsewhere.
+        assert!(!svg.contains("<b>") && !svg.contains("href"));
+        assert!(svg.matches("<polyline").count() >= 3);
     }
 
     #[test]
-    fn nothing_is_drawn_of_nothing_and_odd_values_do_no_harm() {
-        assert_eq!(curves("x", &[], &[]), "");
-        let odd = vec![f64::NAN, f64::INFINITY, 0.0];
-        assert!(curves("x", &[Curve { name: "odd", values: odd }], &[]).starts_with("<svg"));
+    fn no_curves_give_no_chart_and_non_finite_values_are_tolerated() {
+        assert_eq!(draw_curves("x", &[], &[]), "");
+        let non_finite = vec![f64::NAN, f64::INFINITY, 0.0];
+        assert!(draw_curves("x", &[Curve { name: "odd", values: non_finite }], &[]).starts_with("<svg"));
     }
 }
