--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -9,8 +9,7 @@
 use std::time::Duration;
 
 /// Query running hosts over HTTP, or drain one. Exit codes: 0 success, 1 a host is unhealthy or did not drain
-/// in time,
-/// 2 a host can't be reached.
+/// in time, 2 a host can't be reached.
 #[derive(Parser)]
 #[command(name = "pearfork-ctl", version, about)]
 struct Arguments {
