--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -113,7 +113,7 @@
 #[test]
 fn invalid_settings_are_an_internal_error_that_names_the_key() {
     for (params, key) in [
-        ("{", "settings are no JSON"),
+        ("{", "settings are not valid JSON"),
         ("{}", "Classes"),
         (r#"{"Classes":[{"Effect":"safe","GoalTimeMs":-5}]}"#, "Classes[0].GoalTimeMs"),
     ] {
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object: what the bench sends in its first message and a real host finds in its
-//! configuration, with the same names and units. Read in one place, so that bench and host can't differ.
+//! Parses the platform's settings object, which the bench sends in its first message and a host finds in its
+//! configuration, with the same names and units. Both use this crate, so that they can't differ.
 
 mod params;
 
