--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -43,8 +43,8 @@
     v.get(key).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
-fn format_percent(part: f64) -> String {
-    format!("{:.2} %", part * 100.0)
+fn format_percent(fraction: f64) -> String {
+    format!("{:.2} %", fraction * 100.0)
 }
 
 /// Compares the views of several hosts.
@@ -76,6 +76,7 @@
     voters.max_by_key(|v| (v["lends"] == json!(true), v["commit"].as_u64()))
 }
 
+/// Lists the members of all queried voters, with what the host of each reports itself.
 fn list_members(views: &[Value], comparison: &mut FleetComparison) {
     let mut members: BTreeMap<u64, (u64, Vec<u64>)> = BTreeMap::new();
     for view in views.iter().filter(|v| v["voter"].is_object()) {
@@ -84,21 +85,23 @@
             members.entry(incarnation).or_insert((host_number(m), Vec::new())).1.push(host_number(view));
         }
     }
-    let own: BTreeMap<u64, &Value> = views.iter().map(|v| (host_number(v), v)).collect();
+    let views_by_host: BTreeMap<u64, &Value> = views.iter().map(|v| (host_number(v), v)).collect();
     let allocations = allocation_view(views);
     for (incarnation, (host, reported_by)) in &members {
-        let line = allocations.and_then(|b| {
-            array_field(b, "members").iter().find(|m| m["incarnation"].as_u64() == Some(*incarnation))
+        let member = allocations.and_then(|voter| {
+            array_field(voter, "members").iter().find(|m| m["incarnation"].as_u64() == Some(*incarnation))
         });
-        let ms = |key| line.and_then(|l| number_field(l, key)).map(|ms| format!("{:.1} s", ms / 1_000.0));
-        let view = own.get(host);
-        let joined = view.and_then(|v| v["holder"]["incarnation"].as_u64());
+        let seconds =
+            |key| member.and_then(|m| number_field(m, key)).map(|ms| format!("{:.1} s", ms / 1_000.0));
+        let view = views_by_host.get(host);
+        let own_incarnation = view.and_then(|v| v["holder"]["incarnation"].as_u64());
         comparison.rows.push(json!({
-            "host": host, "incarnation": incarnation, "heard_ago": ms("heard_ms"), "over_in": ms("over_in_ms"),
-            "in_the_book_of": reported_by, "says_itself": joined,
+            "host": host, "incarnation": incarnation,
+            "heard_ago": seconds("heard_ms"), "over_in": seconds("over_in_ms"),
+            "in_the_book_of": reported_by, "says_itself": own_incarnation,
         }));
     }
-    for (host, view) in own {
+    for (host, view) in views_by_host {
         let holder = &view["holder"];
         if holder["superseded"] == json!(true) {
             comparison.disagreements.push(format!("host {host}: another process has joined with its number"));
@@ -124,28 +127,31 @@
         names.extend(array_field(&view["holder"], "budgets").iter().filter_map(|b| b["budget"].as_str()));
     }
     for name in names {
-        let line = allocations
-            .and_then(|b| array_field(b, "budgets").iter().find(|l| l["budget"].as_str() == Some(name)));
+        let allocation = allocations.and_then(|voter| {
+            array_field(voter, "budgets").iter().find(|l| l["budget"].as_str() == Some(name))
+        });
         let mut total = 0.0;
         for view in views {
-            let own =
+            let held =
                 array_field(&view["holder"], "budgets").iter().find(|l| l["budget"].as_str() == Some(name));
-            let Some(own) = own else { continue };
-            let part = |key| number_field(own, key).unwrap_or(0.0);
-            let allocated = line.and_then(|l| number_field(&l["to"], &host_number(view).to_string()));
-            total += part("floor") + part("lent");
+            let Some(held) = held else { continue };
+            let fraction = |key| number_field(held, key).unwrap_or(0.0);
+            let allocated = allocation.and_then(|l| number_field(&l["to"], &host_number(view).to_string()));
+            total += fraction("floor") + fraction("lent");
             // The views are taken one after the other, so a grant between two of them is reported as well.
-            if part("lent") > allocated.unwrap_or(0.0) + FRACTION_TOLERANCE && line.is_some() {
+            if fraction("lent") > allocated.unwrap_or(0.0) + FRACTION_TOLERANCE && allocation.is_some() {
                 comparison.disagreements.push(format!(
                     "{name}: host {} reports a lent fraction of {}, the lease table has {}",
                     host_number(view),
-                    format_percent(part("lent")),
+                    format_percent(fraction("lent")),
                     format_percent(allocated.unwrap_or(0.0))
                 ));
             }
             comparison.rows.push(json!({
-                "budget": name, "host": host_number(view), "may_use": format_percent(part("floor") + part("lent")),
-                "in_the_book": allocated.map(format_percent), "clients_ask": format_percent(part("demand")),
+                "budget": name, "host": host_number(view),
+                "may_use": format_percent(fraction("floor") + fraction("lent")),
+                "in_the_book": allocated.map(format_percent),
+                "clients_ask": format_percent(fraction("demand")),
             }));
         }
         if total > 1.0 + FRACTION_TOLERANCE {
@@ -153,7 +159,7 @@
                 .disagreements
                 .push(format!("{name}: the hosts together report {} of it", format_percent(total)));
         }
-        let lent = line.and_then(|l| number_field(l, "lent"));
+        let lent = allocation.and_then(|l| number_field(l, "lent"));
         comparison.sentences.push(format!(
             "{name}: the queried hosts may use {} of it; lent according to the lease table: {}",
             format_percent(total),
@@ -162,25 +168,26 @@
     }
 }
 
+/// Explains for each queried host why it may use its fraction of a volume's limit.
 fn explain_limit(views: &[Value], volume: &str, comparison: &mut FleetComparison) {
     let name = format!("limit/{volume}");
     let allocations = allocation_view(views);
     let mut is_known = false;
     for view in views {
         let holder = &view["holder"];
-        let Some(own) =
+        let Some(held) =
             array_field(holder, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str()))
         else {
             continue;
         };
         is_known = true;
-        let part = |key| number_field(own, key).unwrap_or(0.0);
-        let (floor, lent, demand) = (part("floor"), part("lent"), part("demand"));
-        let left = number_field(holder, "lease_ms");
+        let fraction = |key| number_field(held, key).unwrap_or(0.0);
+        let (floor, lent, demand) = (fraction("floor"), fraction("lent"), fraction("demand"));
+        let lease_ms = number_field(holder, "lease_ms");
         let reason = if holder["superseded"] == json!(true) {
             "another process has joined with its number, so it uses none of it".to_owned()
-        } else if let Some(ms) = left.filter(|ms| *ms > 0.0) {
-            let wants = if demand == 0.0 && lent == 0.0 {
+        } else if let Some(ms) = lease_ms.filter(|ms| *ms > 0.0) {
+            let remark = if demand == 0.0 && lent == 0.0 {
                 "; it has no demand, so nothing is lent to it".to_owned()
             } else if lent == 0.0 {
                 "; nothing is lent to it: other hosts hold it and return a part once this demand is known"
@@ -188,12 +195,12 @@
             } else {
                 String::new()
             };
-            format!("its lease holds for {:.1} s{wants}", ms / 1_000.0)
+            format!("its lease holds for {:.1} s{remark}", ms / 1_000.0)
         } else {
             let refused: Vec<&str> =
                 array_field(view, "links").iter().filter_map(|l| l["refused"].as_str()).collect();
             let up = array_field(view, "links").iter().filter(|l| l["up"] == json!(true)).count();
-            match (refused.first(), up, left) {
+            match (refused.first(), up, lease_ms) {
                 (Some(why), ..) => format!("a voter refuses its connection: {why}"),
                 (None, 0, _) => "it is connected to no voter".to_owned(),
                 (None, _, None) => "it has not had a response from a leader yet".to_owned(),
@@ -211,10 +218,10 @@
             format_percent(demand)
         ));
     }
-    if let Some(line) = allocations
-        .and_then(|b| array_field(b, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str())))
-    {
-        let to: Vec<String> = line["to"]
+    if let Some(allocation) = allocations.and_then(|voter| {
+        array_field(voter, "budgets").iter().find(|l| l["budget"].as_str() == Some(name.as_str()))
+    }) {
+        let shares: Vec<String> = allocation["to"]
             .as_object()
             .map(|m| {
                 m.iter()
@@ -222,7 +229,7 @@
                     .collect()
             })
             .unwrap_or_default();
-        comparison.sentences.push(format!("the lease table: {}", to.join(", ")));
+        comparison.sentences.push(format!("the lease table: {}", shares.join(", ")));
     } else if is_known {
         comparison.sentences.push("no queried voter has an allocation of it".to_owned());
     }
