--- a/crates/check/src/main.rs
+++ b/crates/check/src/main.rs
@@ -101,20 +101,20 @@
     let overrides = pearfork_cli::overrides(set);
     let mut worst_exit = Exit::Success;
     for path in files {
-        let v = check_file_with(path, &overrides);
-        let warnings: String = v.warnings.iter().map(|w| format!("{w}\n")).collect();
-        let text = if v.valid {
+        let result = check_file_with(path, &overrides);
+        let warnings: String = result.warnings.iter().map(|w| format!("{w}\n")).collect();
+        let text = if result.valid {
             format!(
                 "{}: {}; {}\n{warnings}",
-                v.file,
+                result.file,
                 output.highlight(Highlight::Success, "right"),
-                v.summary
+                result.summary
             )
         } else {
-            format!("{}: {}\n{}\n", v.file, output.highlight(Highlight::Error, "refused"), v.errors)
+            format!("{}: {}\n{}\n", result.file, output.highlight(Highlight::Error, "refused"), result.errors)
         };
-        output.print(&v, &text);
-        let exit = match (v.valid, v.kind) {
+        output.print(&result, &text);
+        let exit = match (result.valid, result.kind) {
             (true, _) => Exit::Success,
             (false, Some(_)) => Exit::Negative,
             (false, None) => Exit::Error,
@@ -152,18 +152,18 @@
     let host_settings = load(settings)?;
     let p = &host_settings.provenance;
     let (files, fingerprint, settings) = (p.files(), p.fingerprint(), p.resolved());
-    let text = format!("# of {}; fingerprint {fingerprint}\n{settings}", files.join(", "));
+    let text = format!("# resolved from {}; fingerprint {fingerprint}\n{settings}", files.join(", "));
     output.print(&Resolved { files, fingerprint, settings }, &text);
     Ok(Exit::Success)
 }
 
 fn explain_request(
     settings: &SettingsArguments,
-    asked: &request::RequestArguments,
+    arguments: &request::RequestArguments,
     output: Output,
 ) -> Result<Exit, String> {
     let host_settings = load(settings)?;
-    let explanation = request::explain(&host_settings, asked)?;
+    let explanation = request::explain(&host_settings, arguments)?;
     output.print(&explanation, &explanation.text);
     Ok(Exit::Success)
 }
@@ -184,18 +184,18 @@
     let mut worst_exit = Exit::Success;
     for path in files {
         let name = path.display().to_string();
-        let text = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
-        let written = convert(&name, &text)?.filter(|w| w.as_bytes() != text);
-        let changes = written.is_some();
+        let content = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
+        let converted = convert(&name, &content)?.filter(|c| c.as_bytes() != content);
+        let changes = converted.is_some();
         let text = match (changes, check) {
             (false, _) => format!("{name}: unchanged\n"),
             (true, true) => format!("{name}: would change\n"),
             (true, false) => format!("{name}: rewritten\n"),
         };
         output.print(&RewriteResult { file: &name, changes }, &text);
-        match written {
+        match converted {
             Some(_) if check => worst_exit = Exit::Negative,
-            Some(written) => replace_file(path, &written).map_err(|e| format!("{name}: {e}"))?,
+            Some(converted) => replace_file(path, &converted).map_err(|e| format!("{name}: {e}"))?,
             None => {}
         }
     }
@@ -204,10 +204,10 @@
 
 /// Replaces a file by renaming a complete temporary file, so that an interrupted write leaves no partial
 /// file.
-fn replace_file(path: &Path, written: &str) -> std::io::Result<()> {
+fn replace_file(path: &Path, content: &str) -> std::io::Result<()> {
     let mut temporary_path = path.as_os_str().to_owned();
     temporary_path.push(".new");
-    std::fs::write(&temporary_path, written).and_then(|()| std::fs::rename(&temporary_path, path))
+    std::fs::write(&temporary_path, content).and_then(|()| std::fs::rename(&temporary_path, path))
 }
 
 fn migrate_files(files: &[PathBuf], check: bool, output: Output) -> Result<Exit, String> {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -54,12 +54,12 @@
 
 /// Sends a query to a host and waits for the response for `timeout` at most.
 pub fn query_host(host: SocketAddr, query: Query, timeout: Duration) -> Response {
-    let called = match query {
+    let result = match query {
         Query::Drain => post(host, query.path(), timeout),
         _ => get(host, query.path(), timeout),
     };
-    let (status, body) = match called {
-        Ok(answer) => answer,
+    let (status, body) = match result {
+        Ok(response) => response,
         Err(e) => return Response::Unreachable(e.to_string()),
     };
     let text = String::from_utf8_lossy(&body).trim_end().to_owned();
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -35,7 +35,7 @@
     pub hosts: u16,
     /// Time during which clients offered load, in milliseconds.
     pub length_ms: f64,
-    /// Maximum delay between an event and its time in the record, in milliseconds.
+    /// Maximum delay between an event and its recording, in milliseconds.
     pub margin_ms: f64,
     /// Start of the run, in milliseconds since the Unix epoch.
     pub began_ms: f64,
