--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,5 +1,5 @@
-//! A report of a recorded day. [`account`] counts, [`plot`] draws, [`page`] lays out; none does I/O.
+//! Reports on recorded scenario runs. [`report`] counts, [`plot`] draws, [`page`] renders; none does I/O.
 
-pub mod account;
 pub mod page;
 pub mod plot;
+pub mod report;
