--- a/crates/layers/tests/layers.rs
+++ b/crates/layers/tests/layers.rs
@@ -5,6 +5,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
+/// In the table `match`, setting `rules` in a later layer removes `file`, and the other way round.
 const EXCLUSIVE: &[[&str; 3]] = &[["match", "rules", "file"]];
 
 fn load(
--- a/crates/ledger/src/divide.rs
+++ b/crates/ledger/src/divide.rs
@@ -62,8 +62,8 @@
 }
 
 impl Division<'_> {
-    /// The minimum fraction of a claim, capped at the whole: a larger minimum could never be met, and the
-    /// claim would get nothing.
+    /// The minimum fraction of a claim, but at least a billionth and at most `self.whole`: a larger minimum
+    /// could never be met, and the claim would get nothing.
     fn min_fraction(&self, claim: usize) -> Fraction {
         self.claims[claim].min_fraction.min(self.whole).max(Fraction(1))
     }
--- a/crates/ledger/src/holder.rs
+++ b/crates/ledger/src/holder.rs
@@ -160,7 +160,7 @@
 const MAX_PENDING_REQUESTS: usize = 64;
 
 impl Holder {
-    /// The holder of a process that joins under this random number.
+    /// The holder of a process that has no lease yet and joins under the random number `nonce`.
     pub fn new(host: HostNumber, nonce: u64, timing: Timing) -> Holder {
         Holder {
             host,
@@ -303,9 +303,9 @@
         }
     }
 
-    /// Whether a lease can be applied to the current state. An incremental lease can not if it starts from a
-    /// response that did not arrive here or comes from another leader: it leaves out what that response
-    /// granted or withdrew.
+    /// Whether a lease can be applied to the current state. An incremental lease omits what earlier responses
+    /// granted or withdrew, so it cannot be applied if the response that it builds on did not arrive here or
+    /// came from another leader.
     fn is_applicable(&self, lease: &Lease) -> bool {
         let Some(since) = lease.changes_since else { return true };
         let term = lease.position.map(|position| position.term);
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -575,6 +575,7 @@
     }
 }
 
+/// The budget for the rate limit of the volume `archive`.
 pub fn archive_budget() -> Budget {
     Budget::new(BudgetKind::Limit, "archive")
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -291,7 +291,8 @@
 }
 
 impl AttemptResult {
-    /// Returns the reason of a final answer after a last attempt that ended in this way without being served.
+    /// Returns the reason of the final answer to a request that was not served and whose last attempt ended
+    /// in this way. `NotSent`, and `Served`, which cannot occur here, yield [`Reason::NodeError`].
     pub(crate) fn reason(self) -> Reason {
         match self {
             AttemptResult::Rejected => Reason::NodeRejected,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -81,9 +81,10 @@
     }
 }
 
-/// Returns the most that a node was sent in a window, as a fraction of what overloads it.
-fn worst_window(fleet: &Fleet, result: &RunResult) -> f64 {
-    let mut worst_window = 0.0_f64;
+/// Returns the highest load of a node in any window of `fleet.window_ms`: the units that it was sent, as a
+/// fraction of the units that would overload it with its capacity at the beginning of the window.
+fn max_window_load(fleet: &Fleet, result: &RunResult) -> f64 {
+    let mut max_load = 0.0_f64;
     for (last, sent) in result.sent.iter().enumerate() {
         let to_same =
             |s: &&common::fleet::SentAttempt| s.shard == sent.shard && s.started_ms == sent.started_ms;
@@ -92,10 +93,10 @@
         // The capacity at the beginning of the window is the least that the rule can mean.
         let capacity_then =
             fleet.units_per_second * fleet.capacity_ratio(sent.at_ms - fleet.window_ms - sent.started_ms);
-        worst_window =
-            worst_window.max(units / (fleet.overload_multiple * capacity_then * fleet.window_ms / 1_000.0));
+        max_load =
+            max_load.max(units / (fleet.overload_multiple * capacity_then * fleet.window_ms / 1_000.0));
     }
-    worst_window
+    max_load
 }
 
 /// Checks a run. Half of a cold node's capacity is used; a class that gets much less of that than the others
@@ -103,9 +104,9 @@
 fn check(variant: Variant) {
     let fleet = variant.fleet();
     let result = fleet.clone().run();
-    let worst_window = worst_window(&fleet, &result);
+    let max_load = max_window_load(&fleet, &result);
     let (cold, all) = (&result.cold, &result.all);
-    assert!(worst_window <= 1.0, "a node is overloaded: {worst_window}: {variant:?}: {cold:?}");
+    assert!(max_load <= 1.0, "a node is overloaded: {max_load}: {variant:?}: {cold:?}");
     assert_eq!((result.unanswered, result.answered_twice), (0, 0), "{variant:?}");
     for (class, (cold, all)) in cold.iter().zip(all).enumerate() {
         let (served_ratio, servable) = (cold.served / cold.requested, variant.servable_ratio());
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -112,7 +112,7 @@
             }
             timer_actions.sort_by(|a, b| a.0.total_cmp(&b.0));
             timer_actions.retain(|(_, _, a)| matches!(a, Action::Send { .. }));
-            timer_actions.iter().for_each(|(when, ..)| bucket.take(*when));
+            timer_actions.iter().for_each(|(when, ..)| bucket.take_two_units(*when));
             timer_actions.iter().for_each(|(_, i, a)| bucket.serve(now, &mut all[*i], a));
             let host = next(hosts as u64) as usize;
             match next(4) {
@@ -151,7 +151,9 @@
 }
 
 impl TokenBucket {
-    fn take(&mut self, when: f64) {
+    /// Refills the bucket up to a time and takes two units, the cost of each request. Panics if fewer are
+    /// left.
+    fn take_two_units(&mut self, when: f64) {
         self.left = (self.left + LIMIT * (when - self.at) / 1_000.0).min(BURST) - 2.0;
         (self.at, self.sent) = (when, self.sent + 1);
         assert!(self.left >= -1e-6, "seed {} at {when}: {}", self.seed, self.left);
@@ -159,7 +161,7 @@
 
     fn take_and_serve(&mut self, now: f64, host: &mut Host, action: &Action) {
         if matches!(action, Action::Send { .. }) {
-            self.take(now);
+            self.take_two_units(now);
             self.serve(now, host, action);
         }
     }
--- a/tests/lmac.rs
+++ b/tests/lmac.rs
@@ -44,6 +44,7 @@
     panic!("the in-flight limit is not reached");
 }
 
+/// Whether a request is queued rather than refused, at a host that cannot send it at once.
 fn is_admitted(h: &mut Host, now: f64, class: u16) -> bool {
     let done = h.at(now, Event::Request(Request { class, ..request(5000, now + 900.0) }));
     assert!(done.len() <= 1 && sent(&done).is_empty());
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -53,22 +53,22 @@
         (node % 3) as u16
     }
 
-    fn actions(&mut self, now: f64, actions: &[Action]) {
+    fn observe_actions(&mut self, now: f64, actions: &[Action]) {
         for a in actions {
             match a {
                 Action::Send { id, node, timeout_ms, .. } => {
                     let class = usize::from(self.requests[id].request.class);
                     assert_eq!(*timeout_ms, self.settings.classes[class].attempt_policy.attempt_timeout_ms);
-                    self.send(now, *id, *node);
+                    self.observe_send(now, *id, *node);
                 }
-                Action::Refuse { id, .. } => self.answer(now, *id, true),
-                Action::Fail { id, .. } => self.answer(now, *id, false),
+                Action::Refuse { id, .. } => self.observe_final_answer(now, *id, true),
+                Action::Fail { id, .. } => self.observe_final_answer(now, *id, false),
                 _ => {}
             }
         }
     }
 
-    fn answer(&mut self, now: f64, id: u32, refused: bool) {
+    fn observe_final_answer(&mut self, now: f64, id: u32, refused: bool) {
         let r = self.requests.get_mut(&id).expect("the request is known");
         assert!(!r.ended, "second final answer for {id}");
         let class = &self.settings.classes[usize::from(r.request.class)];
@@ -81,7 +81,7 @@
         r.final_answers += 1;
     }
 
-    fn send(&mut self, now: f64, id: u32, node: u32) {
+    fn observe_send(&mut self, now: f64, id: u32, node: u32) {
         let r = self.requests.get_mut(&id).expect("the request is known");
         assert!(!r.ended, "sent {id} after its end");
         let class = &self.settings.classes[usize::from(r.request.class)];
@@ -203,7 +203,9 @@
     }
 }
 
-fn run(seed: u64, hosts: u32) -> (usize, usize, usize) {
+/// Runs one random stream of events and checks every action. Returns the numbers of sends, retries and
+/// hedges.
+fn run_seed(seed: u64, hosts: u32) -> (usize, usize, usize) {
     let mut random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut settings = settings();
     settings.hosts = hosts;
@@ -246,7 +248,7 @@
     for id in 0..4000u32 {
         now += random.below(20) as f64;
         for (at, a) in host.run_timers_until(now) {
-            check.actions(at, &[a]);
+            check.observe_actions(at, &[a]);
         }
         let request = Request {
             id,
@@ -262,7 +264,7 @@
         check.accepted_at.push(now);
         check.requests.insert(id, RequestLog { request, ..RequestLog::default() });
         let done = host.at(now, Event::Request(request));
-        check.actions(now, &done);
+        check.observe_actions(now, &done);
         for _ in 0..random.below(4) {
             if check.in_flight.is_empty() {
                 break;
@@ -304,7 +306,7 @@
                 outcome_of_attempt.util,
             ) = (report(), report(), report(), report());
             let done = host.at(now, Event::AttemptEnded(outcome_of_attempt));
-            check.actions(now, &done);
+            check.observe_actions(now, &done);
         }
         if random.below(40) == 0 {
             let node = random.below(6) as u32;
@@ -329,15 +331,15 @@
                 }
             }
             let done = host.at(now, Event::NodeList(ListKind::Changes, vec![e]));
-            check.actions(now, &done);
+            check.observe_actions(now, &done);
         }
         if random.below(100) == 0 {
             let done = host.at(now, Event::NodeList(ListKind::Failed, Vec::new()));
-            check.actions(now, &done);
+            check.observe_actions(now, &done);
         }
     }
     for (at, a) in host.run_timers_until(now + 3000.0) {
-        check.actions(at, &[a]);
+        check.observe_actions(at, &[a]);
     }
     assert!(
         check.requests.values().all(|r| r.ended && r.final_answers == 1),
@@ -347,18 +349,18 @@
     (sends, check.retries_at.len(), check.hedges)
 }
 
+/// Checks the actions of the scheduler against an independent model of the rules: final answers, retries,
+/// hedges, cold nodes and volume limits. The counts guard against streams in which too little happens to
+/// break a rule.
 #[test]
 fn rules_hold_for_random_events() {
-    let (mut sends, mut retries_at, mut hedges) = (0, 0, 0);
+    let (mut sends, mut retries, mut hedges) = (0, 0, 0);
     for seed in 1..=32 {
-        let (s, e, d) = run(seed, [2, 40, 150][seed as usize % 3]);
-        sends += s;
-        retries_at += e;
-        hedges += d;
+        let (run_sends, run_retries, run_hedges) = run_seed(seed, [2, 40, 150][seed as usize % 3]);
+        sends += run_sends;
+        retries += run_retries;
+        hedges += run_hedges;
     }
-    assert!(
-        sends > 5_000 && retries_at > 300,
-        "the runs have too few events: {sends} sends, {retries_at} retries"
-    );
+    assert!(sends > 5_000 && retries > 300, "the runs have too few events: {sends} sends, {retries} retries");
     assert!(hedges > 30, "only {hedges} hedges");
 }
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -5,23 +5,25 @@
 use pearfork::*;
 use std::collections::BTreeSet;
 
-fn reason_of(actions: &[Action]) -> Option<Reason> {
+/// Returns the reason of the first final answer among the actions, if there is one.
+fn final_reason(actions: &[Action]) -> Option<Reason> {
     actions.iter().find_map(|a| match a {
         Action::Refuse { reason, .. } | Action::Fail { reason, .. } => Some(*reason),
         _ => None,
     })
 }
 
-fn last_reason(actions: &[(f64, Action)]) -> Option<Reason> {
+fn first_final_reason(actions: &[(f64, Action)]) -> Option<Reason> {
     let plain: Vec<Action> = actions.iter().map(|(_, a)| a.clone()).collect();
-    reason_of(&plain)
+    final_reason(&plain)
 }
 
+/// Returns the reason why a request waits at a time; `None` if it does not wait.
 fn waiting_reason(h: &Host, now: f64, id: u32) -> Option<Reason> {
     h.scheduler.waiting(now).find(|(i, _)| *i == id).map(|(_, reason)| reason)
 }
 
-fn with(change: impl FnOnce(&mut Settings)) -> Settings {
+fn settings_with(change: impl FnOnce(&mut Settings)) -> Settings {
     let mut s = settings();
     change(&mut s);
     s
@@ -63,7 +65,7 @@
     let mut none = Host::with_nodes(settings(), &[entry(7, 1)]);
     assert!(send_request(&mut none, 1.0, 1).is_empty());
     assert_eq!(waiting_reason(&none, 1.0, 1), Some(Reason::NoNode));
-    assert_eq!(last_reason(&none.run_timers_until(2_000.0)), Some(Reason::NoNode));
+    assert_eq!(first_final_reason(&none.run_timers_until(2_000.0)), Some(Reason::NoNode));
 
     let mut cold = Host::new(settings());
     cold.at(0.0, Event::NodeList(ListKind::Cached, vec![entry(7, 0)]));
@@ -84,7 +86,8 @@
 
 #[test]
 fn limit_key_order_budget_and_delay_have_different_reasons() {
-    let capped = |limit: f64| with(|s| s.plans = vec![Plan { limit, burst: 4.0, slack: 0.0, ..plan() }]);
+    let capped =
+        |limit: f64| settings_with(|s| s.plans = vec![Plan { limit, burst: 4.0, slack: 0.0, ..plan() }]);
     let mut h = Host::with_nodes(capped(100.0), &[entry(7, 0)]);
     assert!(send_request(&mut h, 1.0, 1).is_empty());
     assert_eq!(waiting_reason(&h, 1.0, 1), Some(Reason::VolumeLimit));
@@ -97,27 +100,28 @@
     };
     assert_eq!(*retry_after_ms, 450.0, "2.2 s, but no more than half of the time that the client has left");
 
-    let ordered = with(|s| s.classes[0].ordered = true);
+    let ordered = settings_with(|s| s.classes[0].ordered = true);
     let mut h = Host::with_nodes(ordered, &[entry(7, 0)]);
     for id in [1, 2] {
         h.at(1.0, Event::Request(Request { key: 5, ..request(id, 900.0) }));
     }
     assert_eq!(waiting_reason(&h, 1.0, 2), Some(Reason::KeyOrder));
 
-    let none_left = with(|s| s.retry_budget = Some(RetryBudget { free: 0.0, ratio: 0.0, span_ms: 5_000.0 }));
+    let none_left =
+        settings_with(|s| s.retry_budget = Some(RetryBudget { free: 0.0, ratio: 0.0, span_ms: 5_000.0 }));
     let mut h = Host::with_nodes(none_left, &[entry(7, 0)]);
     send_request(&mut h, 1.0, 1);
     h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Reset)));
     assert_eq!(waiting_reason(&h, 2.0, 1), Some(Reason::RetryBudget));
 
-    let paused = with(|s| s.classes[0].attempt_policy.retry_delay_ms = 50.0);
+    let paused = settings_with(|s| s.classes[0].attempt_policy.retry_delay_ms = 50.0);
     let mut h = Host::with_nodes(paused, &[entry(7, 0)]);
     send_request(&mut h, 1.0, 1);
     h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Reset)));
     assert_eq!(waiting_reason(&h, 2.0, 1), Some(Reason::RetryDelay));
 
     // A keyed request whose nodes are about to forget its key.
-    let keyed = with(|s| {
+    let keyed = settings_with(|s| {
         s.classes = vec![Class { window_ms: 100.0, ..class(Effect::Keyed, Group::Shard) }];
         s.classes[0].attempt_policy.retry_delay_ms = 200.0;
     });
@@ -125,7 +129,7 @@
     send_request(&mut h, 1.0, 1);
     h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, AttemptResult::Reset)));
     assert_eq!(waiting_reason(&h, 300.0, 1), Some(Reason::RetryNotAllowed));
-    assert_eq!(last_reason(&h.run_timers_until(2_000.0)), Some(Reason::RetryNotAllowed));
+    assert_eq!(first_final_reason(&h.run_timers_until(2_000.0)), Some(Reason::RetryNotAllowed));
 }
 
 #[test]
@@ -137,17 +141,17 @@
         (AttemptResult::ConnectFailed, Reason::Unreachable),
         (AttemptResult::TimedOut, Reason::NoResponse),
     ] {
-        let mut h = Host::with_nodes(with(|s| s.max_attempts = 1), &[entry(7, 0)]);
+        let mut h = Host::with_nodes(settings_with(|s| s.max_attempts = 1), &[entry(7, 0)]);
         send_request(&mut h, 1.0, 1);
         assert_eq!(
-            reason_of(&h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, result)))),
+            final_reason(&h.at(2.0, Event::AttemptEnded(outcome(1, 0, 7, result)))),
             Some(want),
             "{result:?}"
         );
     }
     let mut h = Host::with_nodes(settings(), &[entry(7, 0)]);
     let invalid = h.at(1.0, Event::Request(Request { class: 9, ..request(1, 900.0) }));
-    assert_eq!(reason_of(&invalid), Some(Reason::Invalid));
+    assert_eq!(final_reason(&invalid), Some(Reason::Invalid));
 }
 
 #[test]
@@ -163,7 +167,7 @@
         h.at(now + 160.0, Event::AttemptEnded(outcome(id, 0, 7, AttemptResult::Served)));
         now += 500.0;
     }
-    let refused = (100..140).find_map(|id| reason_of(&send_request(&mut h, now, id)));
+    let refused = (100..140).find_map(|id| final_reason(&send_request(&mut h, now, id)));
     assert_eq!(refused, Some(Reason::Envelope));
 
     // A node that reports a wait of 300 ms, with an aim of 100 ms.
@@ -182,10 +186,10 @@
         };
         h.at(now + took, Event::AttemptEnded(ended));
     }
-    assert_eq!(reason_of(&send_request(&mut h, 30_320.0, 52)), Some(Reason::Prediction));
+    assert_eq!(final_reason(&send_request(&mut h, 30_320.0, 52)), Some(Reason::Prediction));
 
     // A request with little worth per unit is displaced by one with more.
-    let two = with(|s| s.classes.push(Class { worth: 50.0, ..class(Effect::Safe, Group::All) }));
+    let two = settings_with(|s| s.classes.push(Class { worth: 50.0, ..class(Effect::Safe, Group::All) }));
     let mut h = Host::with_nodes(two, &[entry(7, 0)]);
     let mut now = 1.0;
     for id in 0..40 {
@@ -196,10 +200,10 @@
         now += 500.0;
     }
     (100..140)
-        .find(|id| reason_of(&send_request(&mut h, now, *id)).is_some())
+        .find(|id| final_reason(&send_request(&mut h, now, *id)).is_some())
         .expect("the envelope test refuses one");
     let valuable = h.at(now, Event::Request(Request { class: 1, ..request(500, now + 900.0) }));
-    assert_eq!(reason_of(&valuable), Some(Reason::Displaced), "{valuable:?}");
+    assert_eq!(final_reason(&valuable), Some(Reason::Displaced), "{valuable:?}");
 }
 
 /// Guards against a volume at its limit that costs others on its node: if requests that wait for the limit
@@ -207,7 +211,7 @@
 /// node.
 #[test]
 fn a_volume_at_its_limit_does_not_delay_others_on_its_node() {
-    let capped = with(|s| {
+    let capped = settings_with(|s| {
         s.plans = vec![plan(), Plan { limit: 40.0, burst: 4.0, slack: 0.0, ..plan() }];
     });
     let mut h = Host::with_nodes(capped, &[entry(7, 0)]);
