--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -191,7 +191,8 @@
         decreased
     }
 
-    /// The shares of a host without a lease.
+    /// The shares of a host without a lease: the floor of each budget for which the consumer reports a
+    /// demand. They hold nothing leased that could expire.
     fn floors(&mut self) -> Vec<BudgetShare> {
         let floor = self.settings.floor();
         let expires_at = Instant::now();
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -11,6 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// The budget for the rate limit of the volume `archive`.
 fn archive_budget() -> Budget {
     Budget::new(BudgetKind::Limit, "archive")
 }
@@ -147,7 +148,8 @@
     bytes
 }
 
-/// Sends bytes and returns all that is received until the connection is closed.
+/// Sends bytes and returns all that is received until the connection closes or fails, or nothing arrives for
+/// 10 s.
 fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut socket = TcpStream::connect(address).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
