--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -162,12 +162,16 @@
         !self.is_full() || any_lingering() || self.find_evictable(now, ClientId::MAX).is_some()
     }
 
+    /// Returns the connection other than `except` for which `pick` yields the earliest time.
     fn oldest(&self, except: ClientId, pick: impl Fn(&ClientEntry) -> Option<f64>) -> Option<ClientId> {
         let times = self.clients.iter().filter(|(other, _)| **other != except);
         let times = times.filter_map(|(other, c)| pick(c).map(|t| (t, *other)));
         times.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, other)| other)
     }
 
+    /// Returns the connection other than `except` to close first when room is needed: the oldest that has not
+    /// sent a complete command, otherwise the one that has been idle for longest, and for at least
+    /// `MIN_EVICTABLE_IDLE_MS`.
     fn find_evictable(&self, now: f64, except: ClientId) -> Option<ClientId> {
         let is_idle = |c: &ClientEntry| c.open_commands == 0 && c.closing_since.is_none();
         let silent = |c: &ClientEntry| (c.last_active.is_none() && is_idle(c)).then_some(c.connected_at);
@@ -260,6 +264,7 @@
         })
     }
 
+    /// Returns the connections that `pick` accepts and that the host is not already closing.
     fn select(&self, pick: impl Fn(&ClientEntry) -> bool) -> Vec<ClientId> {
         let selected = self.clients.iter().filter(|(_, c)| c.closing_since.is_none() && pick(c));
         selected.map(|(id, _)| *id).collect()
--- a/crates/platform/src/node_reply.rs
+++ b/crates/platform/src/node_reply.rs
@@ -1,13 +1,13 @@
 //! Converts the RESP reply of a node into the outcome of an attempt.
 
-use crate::request::MAX_VALUE;
+use crate::request::MAX_VALUE_BYTES;
 use bytes::Bytes;
 use pearfork::AttemptResult;
 use pearfork_drive::NodeReport;
 use pearfork_resp::{Reply, ReplyLimits};
 
 /// Size limits for the reply of a node.
-pub const LIMITS: ReplyLimits = ReplyLimits { line_bytes: 512, bulk_bytes: MAX_VALUE, elements: 3 };
+pub const LIMITS: ReplyLimits = ReplyLimits { line_bytes: 512, bulk_bytes: MAX_VALUE_BYTES, elements: 3 };
 
 /// Outcome of an attempt that its node replied to.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -6,10 +6,10 @@
 use pearfork_resp::{write, CommandLimits};
 
 /// Maximum size of an object's value in bytes.
-pub const MAX_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Size limits for a client's command, which has up to five arguments, the last of them a value.
 pub const COMMAND_LIMITS: CommandLimits =
-    CommandLimits { args: 8, arg_bytes: MAX_VALUE, total_bytes: MAX_VALUE + 1024 };
+    CommandLimits { args: 8, arg_bytes: MAX_VALUE_BYTES, total_bytes: MAX_VALUE_BYTES + 1024 };
 /// Maximum size of the attribute list in bytes.
 const MAX_ATTRIBUTES_BYTES: usize = 512;
 /// Length of an id, an object, a volume and a key in hexadecimal digits.
--- a/crates/platform/tests/connections.rs
+++ b/crates/platform/tests/connections.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn an_unusable_link_passes_its_attempt_to_another() {
+fn a_rejected_write_closes_the_link_and_opens_a_new_one() {
     let mut pool = Pool::new(LINK_SETTINGS, 10);
     send(&mut pool, 0.0, 1);
     link_opened(&mut pool, 0.0, 0);
@@ -152,7 +152,7 @@
 
 /// Guards against losing an attempt whose link was removed from the pool before it was written.
 #[test]
-fn an_attempt_whose_link_is_gone_gets_another() {
+fn an_attempt_whose_link_was_removed_is_written_to_a_new_link() {
     let mut pool = Pool::new(LINK_SETTINGS, 10);
     send(&mut pool, 0.0, 1);
     assert_eq!(link_opened(&mut pool, 0.0, 0), [PoolAction::Write(0, attempt(1))]);
--- a/crates/serving/src/client.rs
+++ b/crates/serving/src/client.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use pearfork_net::{lock, PeekResult, Poller, WriteBuffer};
 use pearfork_platform::clients::{ClientId, ClientTable};
-use pearfork_platform::request::MAX_VALUE;
+use pearfork_platform::request::MAX_VALUE_BYTES;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 
@@ -85,7 +85,7 @@
 
     /// Whether another command may be accepted. If not, the mailbox is notified when one may.
     pub(crate) fn can_accept_command(&self) -> bool {
-        let unread_replies = self.write_buffer.buffered_bytes().div_ceil(MAX_VALUE);
+        let unread_replies = self.write_buffer.buffered_bytes().div_ceil(MAX_VALUE_BYTES);
         let mut queue = lock(&self.queue);
         queue.notify_below_limit = queue.replies.len() >= MAX_OPEN_COMMANDS;
         queue.replies.len() + unread_replies < MAX_OPEN_COMMANDS
--- a/crates/serving/src/links.rs
+++ b/crates/serving/src/links.rs
@@ -46,11 +46,12 @@
 pub(crate) struct LinkUnusable;
 
 impl Link {
-    /// Writes a command.
+    /// Writes a command. Fails, and marks the link as closed, if the link is closed or has something to read
+    /// although no reply is due.
     ///
-    /// A node may send more than its reply. Data that waits to be read while no reply is due belongs to no
-    /// later command, but would be taken for the reply to the next one. Data is read from the socket only
-    /// under this lock, so none can be in transit between the socket and this check.
+    /// A node may send more than its reply. The surplus would be taken for the reply to the next command.
+    /// Data is read from the socket only under this lock, so none can be in transit between the socket and
+    /// this check.
     pub(crate) fn send(&self, command: Bytes) -> Result<(), LinkUnusable> {
         let mut state = lock(&self.state);
         if state.closed || (state.in_flight == 0 && self.write_buffer.peek() != PeekResult::Empty) {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Stops the thread that reads.
+    /// Makes [`NodeLinks::run`] return, without waiting for it.
     pub(crate) fn stop(&self) {
         self.is_stopped.store(true, Ordering::SeqCst);
         self.poller.wake();
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -37,6 +37,9 @@
 }
 
 impl CallTiming {
+    /// Derives the waits from the grace period of the rules: a call waits for half of it, within
+    /// `WAIT_BOUNDS`.
+    ///
     /// An agent that was silent and returns counts as having notified every host of its changes at that
     /// moment. A call that began earlier must end, and the next one must be answered, within the grace period
     /// of the rules.
--- a/crates/serving/tests/races/discovery_failures.rs
+++ b/crates/serving/tests/races/discovery_failures.rs
@@ -158,12 +158,13 @@
     Ok(text.split(' ').nth(1).unwrap_or_default().to_owned())
 }
 
-fn number(path: &str, key: &str) -> Option<u64> {
+/// Returns the value of a parameter of a request path, if it is a number.
+fn query_number(path: &str, key: &str) -> Option<u64> {
     let (_, behind) = path.split_once(&format!("{key}="))?;
     behind.split('&').next()?.parse().ok()
 }
 
-fn header(length: usize) -> String {
+fn ok_header(length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n")
 }
 
@@ -173,8 +174,8 @@
     let mut now = state.lock().unwrap();
     now.calls += 1;
     changed.notify_all();
-    let since = number(&path, "since");
-    if let (Some(since), Some(wait_ms)) = (since, number(&path, "timeout_ms")) {
+    let since = query_number(&path, "since");
+    if let (Some(since), Some(wait_ms)) = (since, query_number(&path, "timeout_ms")) {
         let is_unchanged = |s: &mut State| s.version == since && !s.is_stopped && waits(s.behaviour);
         let wait = Duration::from_millis(wait_ms);
         now = changed.wait_timeout_while(now, wait, is_unchanged).unwrap().0;
@@ -210,7 +211,7 @@
             respond_to(stream, text);
         }
         Behaviour::Slow(time) => {
-            let whole = [header(text.len()).as_bytes(), text.as_bytes()].concat();
+            let whole = [ok_header(text.len()).as_bytes(), text.as_bytes()].concat();
             let pieces: Vec<&[u8]> = whole.chunks(whole.len().div_ceil(10)).collect();
             for chunk in &pieces {
                 std::thread::sleep(time / pieces.len() as u32);
@@ -223,7 +224,7 @@
             wait_for_close(&mut stream);
         }
         Behaviour::Trickling => {
-            stream.write_all(format!("{}{{", header(1_000_000)).as_bytes())?;
+            stream.write_all(format!("{}{{", ok_header(1_000_000)).as_bytes())?;
             while !is_stopped() {
                 stream.write_all(b" ")?;
                 std::thread::sleep(Duration::from_millis(20));
@@ -240,7 +241,7 @@
             reset(stream);
         }
         Behaviour::Truncated => {
-            stream.write_all(format!("{}{invalid_list}", header(invalid_list.len() + 1)).as_bytes())?;
+            stream.write_all(format!("{}{invalid_list}", ok_header(invalid_list.len() + 1)).as_bytes())?;
         }
         Behaviour::Status(status) => {
             let length = invalid_list.len();
