--- a/crates/host/src/fleet.rs
+++ b/crates/host/src/fleet.rs
@@ -35,7 +35,8 @@
     seen: u64,
 }
 
-/// The volumes whose service plans have a limit.
+/// The limit of each volume whose service plan has one, the floor of the shares, and the demand counter of
+/// every volume.
 #[derive(Debug)]
 pub(crate) struct SharedLimits {
     limits: Vec<VolumeLimit>,
--- a/crates/host/src/frontend.rs
+++ b/crates/host/src/frontend.rs
@@ -79,6 +79,7 @@
         self.lock().len()
     }
 
+    /// Sends an input to the engine, and waits while its queue is full.
     fn send(&self, input: Input) {
         // If the engine's queue is full, this blocks only the reading thread of the client's own connection.
         let _ = self.engine.send(Message::Input(input));
@@ -121,7 +122,11 @@
     fn prepare(&self, client: &mut Client, command: &ScsiCommand) -> Result<Submission, Response> {
         let parsed = Cdb::parse(&command.cdb);
         if let Ok(Cdb::ReportLuns { select_report, allocation_length }) = parsed {
-            return Err(local_response(report_luns(select_report, allocation_length, sorted(&client.units))));
+            return Err(local_response(report_luns(
+                select_report,
+                allocation_length,
+                sorted_luns(&client.units),
+            )));
         }
         let volume = decode_lun(command.lun).and_then(|u| client.units.get(&u)).map(|id| self.volume(*id));
         let Some(volume) = volume else {
@@ -174,7 +179,7 @@
     }
 }
 
-fn sorted(units: &HashMap<u16, VolumeId>) -> impl Iterator<Item = u16> {
+fn sorted_luns(units: &HashMap<u16, VolumeId>) -> impl Iterator<Item = u16> {
     let mut all: Vec<u16> = units.keys().copied().collect();
     all.sort_unstable();
     all.into_iter()
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -108,7 +108,7 @@
             State::Opening(waiting) if waiting.len() < MAX_WAITING => waiting.push(attempt),
             State::Opening(_) => {
                 drop(state);
-                self.connect_failed(attempt.id);
+                self.report_connect_failed(attempt.id);
             }
             State::Closed | State::Open(_) => {
                 *state = State::Opening(vec![attempt]);
@@ -133,7 +133,7 @@
                 extension: self.extension,
             };
             let engine = self.engine.clone();
-            let events = move |event| on_event(&engine, node, event);
+            let events = move |event| report_event(&engine, node, event);
             Connection::open(address, config, self.connect_timeout, StreamTap::default(), events)
                 .inspect_err(|e| tracing::debug!(node, error = %e, "connecting to the node failed"))
                 .ok()
@@ -162,7 +162,7 @@
     fn close_unopened(&self, link: &Link) {
         let state = std::mem::replace(&mut *lock(&link.state), State::Closed);
         if let State::Opening(waiting) = state {
-            waiting.into_iter().for_each(|a| self.connect_failed(a.id));
+            waiting.into_iter().for_each(|a| self.report_connect_failed(a.id));
         }
     }
 
@@ -186,17 +186,16 @@
         };
         let sent = Sent { id: attempt.id, wanted: attempt.wanted, not_after, read_len: read_len as usize };
         if let Err(sent) = connection.submit(sent, command) {
-            self.connect_failed(sent.id);
+            self.report_connect_failed(sent.id);
         }
     }
 
-    fn connect_failed(&self, id: AttemptId) {
+    fn report_connect_failed(&self, id: AttemptId) {
         self.report_unsent(id, AttemptEnd::ConnectFailed);
     }
 
-    /// Reports an attempt that was not sent through the engine's channel, like every outcome. The engine
-    /// itself may be the caller and must not block on its own channel: if the channel is full, a thread waits
-    /// instead.
+    /// Reports the end of an attempt that was not sent. The engine itself may be the caller and must not
+    /// block on its own channel: if the channel is full, a new thread waits for room instead.
     fn report_unsent(&self, id: AttemptId, outcome: AttemptEnd) {
         let message = Message::attempt_ended(id, outcome, None);
         if let Err(crossbeam_channel::TrySendError::Full(message)) = self.engine.try_send(message) {
@@ -247,7 +246,9 @@
     }
 }
 
-fn on_event(engine: &Sender<Message>, node: u32, event: ConnectionEvent<Sent>) {
+/// Reports to the engine the end of each attempt that an event of a connection ends. Attempts that were not
+/// yet sent when the connection closed end as `ConnectFailed`, since they did not run.
+fn report_event(engine: &Sender<Message>, node: u32, event: ConnectionEvent<Sent>) {
     let report_end = |id, outcome, report| drop(engine.send(Message::attempt_ended(id, outcome, report)));
     match event {
         ConnectionEvent::Completed(sent, done) => {
--- a/crates/host/src/settings/fleet.rs
+++ b/crates/host/src/settings/fleet.rs
@@ -92,6 +92,8 @@
         })
     }
 
+    /// Checks the number of voters, each voter's host number, that `listen` and `folder` are set exactly if
+    /// this host is a voter, and the number of hosts. Adds what it finds to the errors and warnings.
     fn check_voters(&mut self, f: &FleetTable, file: &SettingsFile) {
         if !VOTER_COUNTS.contains(&f.voters.len()) {
             let what = format!("names {} voters; a fleet has 1, 3, 5 or 7", f.voters.len());
--- a/crates/host/src/settings/provenance.rs
+++ b/crates/host/src/settings/provenance.rs
@@ -17,7 +17,7 @@
     files: Vec<String>,
 }
 
-/// A value, and where it was set.
+/// A value, where it was set, and the values of lower layers that it overrides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Explanation {
     /// The key.
