--- a/crates/match/src/compile.rs
+++ b/crates/match/src/compile.rs
@@ -71,6 +71,7 @@
         (entry, t)
     }
 
+    /// Reports an error and returns `None`.
     fn error<T>(&mut self, span: Span, message: impl Into<String>) -> Option<T> {
         self.diagnostics.push(Diagnostic::new(span, message));
         None
@@ -273,6 +274,8 @@
         Some(Type::Bool)
     }
 
+    /// Emits arithmetic operations, which are evaluated from left to right. Returns the type of the result;
+    /// `None` after an error in the types.
     fn emit_chain(&mut self, e: &Expr, first: &Expr, rest: &[(ArithOp, Expr)]) -> Option<Type> {
         if let Err(diagnostic) = fold_constant(e) {
             self.diagnostics.push(diagnostic);
--- a/crates/match/src/coverage.rs
+++ b/crates/match/src/coverage.rs
@@ -167,7 +167,8 @@
     out
 }
 
-/// The rows that a request with this `op` may match. May include rows that it cannot match, but omits none.
+/// The indices of the rows that may be the first match of a request with this `op`: rows that earlier ones
+/// cover completely are left out. May include rows that it cannot match, but omits none.
 pub(crate) fn reachable_rows(op: &str, regions: &[Region]) -> Vec<usize> {
     let operation = Cell::of(Field::Op, Domain::texts(vec![Pattern::Exact(op.to_owned())]));
     let cells = all_requests().intersection(&operation).map(|c| c.0).into_iter().collect();
--- a/crates/match/src/region.rs
+++ b/crates/match/src/region.rs
@@ -99,10 +99,12 @@
 }
 
 impl Region {
+    /// Contains every request. `exact` is false if the condition may not hold for all of them.
     pub(crate) fn all(exact: bool) -> Region {
         Region { cells: vec![Cell::default()], exact }
     }
 
+    /// Contains no request.
     fn none() -> Region {
         Region { cells: Vec::new(), exact: true }
     }
@@ -246,6 +248,7 @@
         }
     }
 
+    /// The text of a literal, or of a name that is bound to one.
     fn text<'a>(&'a self, e: &'a Expr) -> Option<&'a str> {
         match &e.kind {
             ExprKind::Text(t) => Some(t),
