--- a/crates/gateway/tests/many_nodes.rs
+++ b/crates/gateway/tests/many_nodes.rs
@@ -24,7 +24,7 @@
 /// requests.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Entries of `nodes` nodes, all at one address.
+/// Node list entries of `nodes` nodes in service, all at one address, assigned to the shards in turn.
 fn node_lines(nodes: usize, dial: SocketAddr) -> Vec<String> {
     let health = "SERVING";
     (0..nodes).map(|i| node_line(&format!("s-{i:08x}"), dial, (i % SHARDS) as u16, health)).collect()
