--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -98,30 +98,30 @@
 fn work(a: Arguments) -> Result<Exit, String> {
     match &a.command {
         Command::Play { day, settings } => {
-            let (text, plan) = load_inputs(day, settings)?;
-            let settings = plan.provenance.resolved();
+            let (text, host_settings) = load_inputs(day, settings)?;
+            let settings = host_settings.provenance.resolved();
             let scenario = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
-            let passed = run_once(&a, &day.display().to_string(), &scenario, &plan, settings, true)?;
+            let passed = run_once(&a, &day.display().to_string(), &scenario, &host_settings, settings, true)?;
             Ok(if passed { Exit::Success } else { Exit::Negative })
         }
         Command::Demo => {
-            let plan = HostSettings::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
+            let host_settings = HostSettings::from_toml(DEMO.1).map_err(|e| format!("settings:\n{e}"))?;
             let scenario = Scenario::from_toml(DEMO.0).map_err(|e| e.to_string())?;
-            let passed = run_once(&a, "demo", &scenario, &plan, DEMO.1, true)?;
+            let passed = run_once(&a, "demo", &scenario, &host_settings, DEMO.1, true)?;
             Ok(if passed { Exit::Success } else { Exit::Negative })
         }
         Command::Search { day, settings, seed, plays, troubles } => {
-            let (text, plan) = load_inputs(day, settings)?;
-            let settings = plan.provenance.resolved();
+            let (text, host_settings) = load_inputs(day, settings)?;
+            let settings = host_settings.provenance.resolved();
             let mut scenario = Scenario::from_toml(&text).map_err(|e| format!("{}: {e}", day.display()))?;
-            let voters = plan.fleet.as_ref().map_or(1, |f| f.voters.len() as u16);
+            let voters = host_settings.fleet.as_ref().map_or(1, |f| f.voters.len() as u16);
             scenario.expectations.clear();
             let mut exit = Exit::Success;
             for seed in *seed..seed.saturating_add(*plays) {
                 scenario.run.seed = seed;
                 scenario.events =
                     draw_schedule(seed, scenario.run.hosts, voters, scenario.run.length, *troubles);
-                if run_once(&a, &format!("seed {seed}"), &scenario, &plan, settings, false)? {
+                if run_once(&a, &format!("seed {seed}"), &scenario, &host_settings, settings, false)? {
                     continue;
                 }
                 exit = Exit::Negative;
@@ -130,7 +130,8 @@
                     smaller.events = events.to_vec();
                     // A failure may not occur in every run. A fault is removed only if a run without it still
                     // fails.
-                    run_once(&a, "smaller", &smaller, &plan, settings, false).is_ok_and(|passed| !passed)
+                    run_once(&a, "smaller", &smaller, &host_settings, settings, false)
+                        .is_ok_and(|passed| !passed)
                 });
                 let faults: Vec<String> = shrunk.iter().map(|e| format!("{e:?}")).collect();
                 a.common.output.print(
@@ -148,7 +149,7 @@
     a: &Arguments,
     name: &str,
     scenario: &Scenario,
-    plan: &HostSettings,
+    host_settings: &HostSettings,
     settings: &str,
     verbose: bool,
 ) -> Result<bool, String> {
@@ -182,7 +183,8 @@
             output.print(&Progress { at_s: 0.0, words: &words }, &format!("        {words}\n"));
         });
     }
-    let result = run_scenario(scenario, plan, &mut runner, on_progress).map_err(|e| e.to_string())?;
+    let result =
+        run_scenario(scenario, host_settings, &mut runner, on_progress).map_err(|e| e.to_string())?;
     let summary = Summary::new(&result);
     if verbose {
         output.print(&summary, &summary.render(output));
