--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod scenario;
 pub mod summary;
 
-pub use rule_check::{check_notes, check_recording, RuleCheck, RuleCheckError};
+pub use rule_check::{check_events, check_recording, RuleCheck, RuleCheckError};
 pub use run::{run_scenario, FaultPeriod, RunError, RunResult};
 
 use pearfork_cli::SettingsArguments;
--- a/crates/day/src/rule_check.rs
+++ b/crates/day/src/rule_check.rs
@@ -28,7 +28,7 @@
 
 /// Checks the events of hosts with the given settings. Each volume must have its own unit number, as
 /// scenarios require.
-pub fn check_notes(events: &[TraceEvent], settings: &HostSettings, parameters: RuleParameters) -> RuleCheck {
+pub fn check_events(events: &[TraceEvent], settings: &HostSettings, parameters: RuleParameters) -> RuleCheck {
     let volume_of = |_: u16, lun: u64| {
         let unit = decode_lun(lun)?;
         settings.volumes.iter().find(|v| v.lun == unit).map(|v| v.id.0)
@@ -45,5 +45,5 @@
     let settings = HostSettings::from_toml(&recording.header.settings)?;
     let parameters =
         rule_parameters::from_settings(&settings, recording.header.margin_ms, recording.header.began_ms);
-    Ok(check_notes(&recording.events, &settings, parameters))
+    Ok(check_events(&recording.events, &settings, parameters))
 }
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -4,7 +4,7 @@
 use crate::expectations::{self, ExpectationResult};
 use crate::host_runner::{HostCounts, HostRunner};
 use crate::scenario::{EventKind, EventTable, Scenario};
-use crate::{check_notes, rule_parameters};
+use crate::{check_events, rule_parameters};
 use pearfork_host::counts::{ClassCounts, ReasonCounts};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::HostError;
@@ -263,7 +263,7 @@
     std::thread::sleep(Duration::from_millis(50));
     let events = recorder.events();
     let parameters = rule_parameters::from_settings(settings, scenario.run.margin.ms(), start_unix_ms);
-    let rule_check = check_notes(&events, settings, parameters);
+    let rule_check = check_events(&events, settings, parameters);
     let crashed_nodes = cluster.nodes().iter().filter(|n| n.has_crashed()).map(|n| n.spec().id).collect();
     Ok(RunResult {
         clients: client_stats,
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Test environment of `pearfork_host`: hosts, fake nodes and an initiator in one process, on loopback.
 #![allow(dead_code)]
 
-use pearfork_day::{check_notes, rule_parameters};
+use pearfork_day::{check_events, rule_parameters};
 use pearfork_host::settings::HostSettings;
 use pearfork_host::Host;
 use pearfork_iscsi::{Command, CommandCompletion, InitiatorConfig, Payload};
@@ -71,7 +71,7 @@
 
     /// Checks the rules against the recorded traffic.
     pub fn check_rules(&self) -> Report {
-        check_notes(
+        check_events(
             &self.recorder.events(),
             &self.settings,
             rule_parameters::from_settings(&self.settings, 500.0, 0.0),
