--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -118,7 +118,7 @@
     pub rule_parameters: pearfork_rulecheck::RuleParameters,
     /// Results of the expectations for volumes with a limit.
     pub expectations: Vec<ExpectationResult>,
-    /// Ids of the nodes that crashed because they were overloaded while cold.
+    /// Ids of the nodes that collapsed because they were overloaded while cold.
     pub collapsed_nodes: Vec<u32>,
     /// Log of the events of the scenario.
     pub scenario_events: Vec<ScenarioEvent>,
@@ -264,7 +264,7 @@
     let events = recorder.events();
     let parameters = rule_parameters::from_settings(settings, scenario.run.margin.ms(), start_unix_ms);
     let rule_check = check_events(&events, settings, parameters);
-    let crashed_nodes = cluster.nodes().iter().filter(|n| n.has_crashed()).map(|n| n.spec().id).collect();
+    let collapsed_nodes = cluster.nodes().iter().filter(|n| n.has_collapsed()).map(|n| n.spec().id).collect();
     Ok(RunResult {
         clients: client_stats,
         class_counts,
@@ -275,7 +275,7 @@
         events,
         rule_parameters: rule_check.parameters,
         expectations: expectations::evaluate(&scenario.expectations, settings, &rule_check.trace, start_us),
-        collapsed_nodes: crashed_nodes,
+        collapsed_nodes,
         scenario_events,
         start_unix_ms,
     })
--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -128,7 +128,7 @@
     pub expectations: Vec<ExpectationResult>,
     /// Descriptions of the first stale blocks.
     pub stale: Vec<String>,
-    /// Ids of the nodes that crashed because they were overloaded while cold.
+    /// Ids of the nodes that collapsed because they were overloaded while cold.
     #[serde(rename = "fallen")]
     pub collapsed_nodes: Vec<u32>,
     /// Results of the rules.
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -284,7 +284,7 @@
     env.fleet.restart_node(1).unwrap();
     load(4, 7);
     wait_until("all responses", || initiators.iter().all(|i| i.connection.outstanding() == 0));
-    assert!(!env.fleet.node(1).has_crashed());
+    assert!(!env.fleet.node(1).has_collapsed());
     env.assert_rules_kept();
     assert!(env.check_rules().finding(Rule::ColdNodes).unwrap().checks > 20, "\n{}", env.check_rules());
 }
--- a/crates/stand/src/node.rs
+++ b/crates/stand/src/node.rs
@@ -216,8 +216,8 @@
         }
     }
 
-    /// Whether the node crashed under overload while it was cold.
-    pub fn has_crashed(&self) -> bool {
+    /// Whether the node collapsed under overload while it was cold.
+    pub fn has_collapsed(&self) -> bool {
         lock(&self.process)
             .as_ref()
             .is_some_and(|(process, ..)| process.faults.stopped.load(Ordering::SeqCst))
