--- a/crates/fleet/src/transport.rs
+++ b/crates/fleet/src/transport.rs
@@ -114,11 +114,11 @@
                 tracing::error!("polling the fleet sockets failed; the transport stops");
                 return;
             }
-            for Readiness { token, hung_up: broken, .. } in ready.drain(..) {
+            for Readiness { token, hung_up, .. } in ready.drain(..) {
                 if token == LISTENER {
                     self.accept();
                 } else {
-                    self.handle_ready(token, broken);
+                    self.handle_ready(token, hung_up);
                 }
             }
         }
--- a/crates/fleet/src/transport/receive.rs
+++ b/crates/fleet/src/transport/receive.rs
@@ -28,9 +28,9 @@
 
 impl Transport {
     /// Handles a connection that the poller reported as ready.
-    pub(super) fn handle_ready(&mut self, id: u64, broken: bool) {
+    pub(super) fn handle_ready(&mut self, id: u64, hung_up: bool) {
         let Some(c) = self.connections.get_mut(&id) else { return };
-        if broken {
+        if hung_up {
             return self.close(id, "the connection was reset");
         }
         if !c.finish_connecting() {
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -87,7 +87,7 @@
     /// Data for the node.
     pub data: Payload,
     /// Repeat key, attempt number and cost.
-    pub tag: CommandMetadata,
+    pub metadata: CommandMetadata,
     /// Cleared once the attempt has ended for the host: it must not be sent any more.
     pub wanted: Arc<AtomicBool>,
     /// The attempt must not be sent from this time on, in milliseconds of the dispatcher's clock; infinite for
@@ -458,7 +458,7 @@
             media: request.extent_part.media,
             block_len,
             data: request.data.clone(),
-            tag: CommandMetadata {
+            metadata: CommandMetadata {
                 key: request.key,
                 attempt: id.number,
                 volume: request.volume.0,
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -182,7 +182,7 @@
             cdb: attempt.media.to_cdb(),
             read_len,
             data: attempt.data,
-            metadata: Some(attempt.tag),
+            metadata: Some(attempt.metadata),
         };
         let sent = Sent { id: attempt.id, wanted: attempt.wanted, not_after, read_len: read_len as usize };
         if let Err(sent) = connection.submit(sent, command) {
--- a/crates/host/tests/dispatcher.rs
+++ b/crates/host/tests/dispatcher.rs
@@ -104,7 +104,7 @@
         [(10, 2047, 1), (11, 2048, 2)]
     );
     assert_ne!(
-        sent[0].1.tag.key, sent[1].1.tag.key,
+        sent[0].1.metadata.key, sent[1].1.metadata.key,
         "a node must not take one part for a repeat of the other"
     );
     let second = Completion::Good(vec![2; 1024].into());
@@ -194,9 +194,9 @@
     let mut out = h.give(Input::AttemptEnded(first.id, AttemptEnd::ConnectFailed, None));
     out.extend(h.advance_to(T0 + 1_000.0).into_iter().map(|e| e.1));
     let again = sends(&out).remove(0).1;
-    assert_eq!(again.tag.key, first.tag.key);
+    assert_eq!(again.metadata.key, first.metadata.key);
     assert_eq!(again.id, AttemptId { request: first.id.request, number: 1 });
-    assert_eq!((first.tag.attempt, again.tag.attempt), (0, 1));
+    assert_eq!((first.metadata.attempt, again.metadata.attempt), (0, 1));
 }
 
 #[test]
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -242,8 +242,8 @@
         pdu.set_u32(24, self.cmd_sn);
         pdu.set_u32(28, self.exp_stat_sn);
         pdu.bhs[32..48].copy_from_slice(&command.cdb);
-        if let (Some(tag), true) = (command.metadata, self.params.extension) {
-            pdu.ahs = tag.to_ahs();
+        if let (Some(metadata), true) = (command.metadata, self.params.extension) {
+            pdu.ahs = metadata.to_ahs();
         }
         if self.params.immediate_data {
             pdu.data = command.data.slice(0, self.params.first_burst.min(self.params.peer_max_data));
--- a/crates/iscsi/src/node_extension.rs
+++ b/crates/iscsi/src/node_extension.rs
@@ -165,13 +165,13 @@
     #[test]
     fn segments_are_padded_to_words_and_decode_to_the_same_values() {
         let key = IdempotencyKey { host: 3, host_start_s: 9, session: 7, cmd_sn: 1 << 31, part: 2 };
-        let tag = CommandMetadata { key, attempt: 1, volume: 5, milli_units: 2500 };
+        let metadata = CommandMetadata { key, attempt: 1, volume: 5, milli_units: 2500 };
         let report = LoadReport { queued: 4, service_us: 900, used_percent: 85, ..Default::default() };
-        let both = [tag.to_ahs(), report.to_ahs()].concat();
+        let both = [metadata.to_ahs(), report.to_ahs()].concat();
         assert_eq!(both.len() % 4, 0);
         assert_eq!(
             (CommandMetadata::from_ahs(&both), LoadReport::from_ahs(&both)),
-            (Some(tag), Some(report))
+            (Some(metadata), Some(report))
         );
         for cut in 0..both.len() {
             let _ = (CommandMetadata::from_ahs(&both[..cut]), LoadReport::from_ahs(&both[cut..]));
