--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -106,7 +106,7 @@
     pub active_faults: Vec<String>,
     /// Total time, seconds.
     pub lasted_s: f64,
-    /// Commands by the reason that the module gave.
+    /// Commands by the reason that the scheduler gave.
     pub reasons: BTreeMap<&'static str, u64>,
 }
 
