--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -203,10 +203,10 @@
     DirectoryDown,
     /// A host's process is stopped (SIGSTOP), and continues after `for`.
     HostStop,
-    /// A host is told to shut down (SIGTERM), and restarts after `for`.
+    /// A host receives SIGTERM, shuts down, and restarts after `for`.
     HostTerm,
-    /// The link between `host` and `peer`, or between `host` and all others, is cut. Data is held back and
-    /// delivered when the cut ends.
+    /// The link between `host` and `peer`, or between `host` and all others, is cut. Data is delivered
+    /// only when the cut ends.
     Cut,
     /// The link from `host` to `peer`, or to all others, is cut in this direction alone.
     CutOneWay,
--- a/crates/drive/tests/driver.rs
+++ b/crates/drive/tests/driver.rs
@@ -97,7 +97,7 @@
     assert_eq!((driver.open_requests(), driver.attempts_in_flight()), (0, 0));
 }
 
-/// A response for a client that has disconnected must not be delivered: it would go to nobody, or to another
+/// A response for a client that has disconnected must not be delivered: it would reach no client, or another
 /// client on the same connection.
 #[test]
 fn a_response_after_the_client_disconnected_serves_nobody_and_ends_the_attempt() {
--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Renews the lease until the thread is told to leave or stop.
+    /// Renews the lease until the thread is asked to leave or stop.
     pub(crate) fn run(mut self) {
         self.shares = self.floors();
         self.consumer.apply(&self.shares);
--- a/crates/fleet/src/voter_thread.rs
+++ b/crates/fleet/src/voter_thread.rs
@@ -49,7 +49,7 @@
         Store::open(folder, VoterThread::disk(settings), header, settings.lendable())
     }
 
-    /// Runs the voter until the thread is told to stop. While the disk fails it neither votes nor grants
+    /// Runs the voter until the thread is asked to stop. While the disk fails it neither votes nor grants
     /// leases, and periodically tries to reopen the store.
     pub(crate) fn run(mut self, mut opened: Option<(Store, PersistentState)>) {
         loop {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Runs the voter until the thread is told to stop.
+    /// Runs the voter until the thread is asked to stop.
     ///
     /// # Errors
     /// The state cannot be written to disk.
--- a/crates/host/src/dispatcher.rs
+++ b/crates/host/src/dispatcher.rs
@@ -153,7 +153,7 @@
 pub enum Output {
     /// Send an attempt to a node.
     Send(u32, Box<OutgoingAttempt>),
-    /// Abort an attempt at its node: nobody waits for it any more.
+    /// Abort an attempt at its node: its result is no longer needed.
     Abort(u32, AttemptId),
     /// Give a command its final answer.
     Answer(CommandId, FinalAnswer),
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Aborts an attempt at its node: nobody waits for it any more.
+    /// Aborts an attempt at its node: its result is no longer needed.
     pub(crate) fn abort(&self, node: u32, id: AttemptId) {
         let Some(link) = lock(&self.links).get(&node).cloned() else { return };
         let mut state = lock(&link.state);
--- a/crates/match/src/decision_tree.rs
+++ b/crates/match/src/decision_tree.rs
@@ -23,7 +23,7 @@
 }
 
 impl<'a> Entry<'a> {
-    /// The constraint on a field; `None` if there is none by which requests can be told apart.
+    /// The constraint on a field; `None` if there is none by which requests can be distinguished.
     fn constraint(&self, field: Field) -> Option<&'a Domain> {
         self.cell.get(field).filter(|d| match d {
             Domain::Ints(ranges) => ranges[..] != [(i64::MIN, i64::MAX)],
--- a/crates/match/src/tests.rs
+++ b/crates/match/src/tests.rs
@@ -339,7 +339,7 @@
     assert!(prefixes.worst_steps() < 300, "{}", prefixes.worst_steps());
     let volume = "v4711-notes";
     assert_eq!(prefixes.class(&Fields { volume, ..Default::default() }), Some("c4711"));
-    // Nested ranges overlap in `lba`, but the rows are still told apart by `bytes`.
+    // Nested ranges overlap in `lba`, but the rows are still distinguished by `bytes`.
     let nested = compile_rows(&|i| format!("lba <= {} and bytes == {i}B", 20_000 - i));
     assert!(nested.worst_steps() < 300, "{}", nested.worst_steps());
     let unindexable = compile_rows(&|i| format!("contains(volume, \"v{i}\")"));
--- a/crates/net/src/ports.rs
+++ b/crates/net/src/ports.rs
@@ -10,7 +10,7 @@
 /// collide.
 const PORTS_PER_PROCESS: usize = 211;
 
-/// Returns distinct loopback addresses on which nobody listens at the moment.
+/// Returns distinct loopback addresses on which no process listens at the moment.
 ///
 /// # Errors
 /// There are fewer free addresses than `count`.
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -19,7 +19,7 @@
     pub at_s: f64,
 }
 
-/// Colors that can be told apart with color vision deficiency (Okabe and Ito).
+/// Colors that can be distinguished with color vision deficiency (Okabe and Ito).
 const COLORS: [RGBColor; 7] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -283,8 +283,8 @@
         request: Box<ClientRequest>,
         arrived_at: f64,
     ) {
-        // The client may have disconnected while the request was queued here. An attempt started now would be
-        // sent for nobody.
+        // The client may have disconnected while the request was queued here. An attempt started now would
+        // have no client.
         if client.is_disconnected() {
             self.state.counters.disconnected += 1;
             return;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -55,7 +55,7 @@
 /// sent later.
 const OVERDUE_RESPONSE_TIMES: f64 = 4.0;
 /// Of the overdue attempts, those of one request in this many are not cancelled, so that late responses can
-/// be told from lost ones.
+/// be distinguished from lost ones.
 const OVERDUE_SAMPLE_INTERVAL: u32 = 8;
 /// A request for which no node is ready, or only a cold one without capacity, is refused in this range of its
 /// client's time; the rest is left for the client's next try. A host that was stalled past the range keeps
@@ -84,7 +84,7 @@
 /// A started node counts as warm once its recent responses take less than this multiple of what warm nodes
 /// take for the same classes.
 const WARM_RESPONSE_TIME_RATIO: f64 = 1.5;
-/// Interval at which requests that are held back by a limit, a backoff or a delay are checked again.
+/// Interval at which requests that wait for a limit, a backoff or a delay are checked again.
 const TICK_MS: f64 = 10.0;
 /// Tick interval while no request is open. A host whose events are more than HOST_STALL_MS apart while a tick
 /// is due was stalled itself.
@@ -242,7 +242,7 @@
         let envelope_room = self.envelope_room_ms(node, usize::from(request.class), now);
         if (envelope_room < 0.0 || !fits) && !self.make_room(now, request.id, node, fits, actions) {
             // The advice is capped by what is queued and in flight here. Past the largest k that was seen the
-            // envelope extrapolates far too high, and a client that is told to wait a second instead of a few
+            // envelope extrapolates far too high, and a client that is asked to wait a second instead of a few
             // milliseconds misses its aim.
             let backlog = self.state.nodes.get(&node).map_or(0.0, |n| self.backlog_ms(n, now));
             let (wait, reason) = if fits {
@@ -854,7 +854,7 @@
             Effect::Unsafe => r.may_have_run.is_none() && r.in_flight == 0,
         };
         if harmless {
-            // The client is told to come back when the excess should be gone, while it still has time left
+            // The client is asked to retry when the excess should be gone, while it still has time left
             // for its try.
             let half_of_time_left = (r.request.valid_until_ms - now).max(0.0) / 2.0;
             let retry_after_ms = wait_ms.clamp(0.0, half_of_time_left.min(self.settings.max_retry_after_ms));
