--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -106,7 +106,7 @@
     pub active_faults: Vec<String>,
     /// Total time, seconds.
     pub lasted_s: f64,
-    /// Commands by the reason that the module gave.
+    /// Commands by the reason that the scheduler gave.
     pub reasons: BTreeMap<&'static str, u64>,
 }
 
@@ -128,7 +128,7 @@
     pub expectations: Vec<ExpectationResult>,
     /// Descriptions of the first stale blocks.
     pub stale: Vec<String>,
-    /// Ids of the nodes that crashed because they were overloaded while cold.
+    /// Ids of the nodes that collapsed because they were overloaded while cold.
     #[serde(rename = "fallen")]
     pub collapsed_nodes: Vec<u32>,
     /// Results of the rules.
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -182,7 +182,7 @@
             cdb: attempt.media.to_cdb(),
             read_len,
             data: attempt.data,
-            metadata: Some(attempt.tag),
+            metadata: Some(attempt.metadata),
         };
         let sent = Sent { id: attempt.id, wanted: attempt.wanted, not_after, read_len: read_len as usize };
         if let Err(sent) = connection.submit(sent, command) {
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Aborts an attempt at its node: nobody waits for it any more.
+    /// Aborts an attempt at its node: its result is no longer needed.
     pub(crate) fn abort(&self, node: u32, id: AttemptId) {
         let Some(link) = lock(&self.links).get(&node).cloned() else { return };
         let mut state = lock(&link.state);
