--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -44,8 +44,8 @@
     pub fingerprint: Option<String>,
 }
 
-/// Checks a file: `.rules` files are matching rules, TOML files with `[day]` are scenarios, all others are
-/// settings.
+/// Checks a file: `.rules` files are matching rules, TOML files with `[day]` and without `[host]` are
+/// scenarios, all others are settings. The result for a file that can't be read has an error and no kind.
 pub fn check_file(path: &Path) -> FileCheck {
     check_file_with(path, &Overrides::default())
 }
@@ -114,6 +114,7 @@
     }
 }
 
+/// Returns the number of class rows, the number of plan rows and the greatest number of steps per request.
 fn summarize_rules(rules: &Rules) -> String {
     format!(
         "{} class rows, {} plan rows, at most {} steps per request",
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -168,7 +168,8 @@
     }
 }
 
-/// Explains for each queried host why it may use its fraction of a volume's limit.
+/// Explains for each queried host why it may use its fraction of a volume's limit, then lists the allocations
+/// of the limit in the lease table. Hosts without the limit are skipped; one sentence says so if none has it.
 fn explain_limit(views: &[Value], volume: &str, comparison: &mut FleetComparison) {
     let name = format!("limit/{volume}");
     let allocations = allocation_view(views);
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -81,8 +81,8 @@
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Asks a host to drain and waits until it is unreachable. Returns text when it is, and
-/// [`Response::Unhealthy`] when it still responds after `wait`. With a `wait` of zero it returns the response
-/// to the drain request.
+/// [`Response::Unhealthy`] when it still responds after `wait`. With a `wait` of zero, or if the drain
+/// request fails, it returns the response to the drain request at once.
 pub fn drain(host: SocketAddr, wait: Duration, timeout: Duration) -> Response {
     let until = Instant::now() + wait;
     let response = query_host(host, Query::Drain, timeout);
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -5,7 +5,8 @@
 /// Keys that identify a row; their columns come first.
 const NAME_KEYS: [&str; 2] = ["name", "node"];
 
-/// Formats rows with the keys of the first one as columns. Values that are not objects are skipped.
+/// Formats rows with the keys of the first one as columns, `name` and `node` first. Values that are not
+/// objects are skipped. Returns the line `none` if no row is left.
 pub fn format_rows(rows: &[Value]) -> String {
     let rows: Vec<&Map<String, Value>> = rows.iter().filter_map(Value::as_object).collect();
     let Some(first) = rows.first() else { return "none\n".to_owned() };
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -57,6 +57,7 @@
     pub margin: Span,
 }
 
+/// The tolerance of the rule checker where the scenario sets none: 300 ms.
 fn default_margin() -> Span {
     Span::from_ms(300.0)
 }
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -477,6 +477,9 @@
         })));
     }
 
+    /// Sends the requested bytes of a write in Data-Out PDUs of at most the peer's MaxRecvDataSegmentLength.
+    /// Ignores an R2T for an unknown task. An empty range, or one outside the task's data, is a protocol
+    /// error.
     fn on_r2t(&mut self, pdu: &Pdu) -> Result<(), InitiatorError> {
         let Some(task) = self.tasks.get(&pdu.itt()) else { return Ok(()) };
         let (start, len) = (pdu.u32(40) as usize, pdu.u32(44) as usize);
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -371,6 +371,10 @@
 
     // ---- Commands ----------------------------------------------------------------------------------------
 
+    /// Registers the task of a SCSI Command PDU and requests its data, or passes the command on if it needs
+    /// no more. Rejects the PDU in a discovery session, if its tag is in use or reserved, if it both reads
+    /// and writes, or if too many tasks are open. Data beyond what was negotiated also closes the connection.
+    /// The CDB is not interpreted and the LUN is not checked.
     fn on_command(&mut self, pdu: Pdu, events: &mut Vec<TargetEvent>) {
         if !self.accept_cmd_sn(&pdu, events) {
             return;
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -283,6 +283,8 @@
 const NAME_KEYS: &[u8] =
     b"InitiatorName=iqn.2026-12.org.example:x\0TargetName=iqn.2026-12.org.pearfork:disk000\0";
 
+/// The target closes the connection with a `Closing` event that states the reason. It sends a PDU first,
+/// except to a peer that sends a command before its login.
 #[test]
 fn an_invalid_login_closes_the_connection_with_a_reason() {
     let cases: [(&str, Vec<Vec<u8>>); 8] = [
--- a/crates/load/src/oracle.rs
+++ b/crates/load/src/oracle.rs
@@ -170,7 +170,9 @@
     use super::*;
     use crate::stamp;
 
-    fn image(lba: u64, numbers: &[u64]) -> Vec<u8> {
+    /// Returns consecutive blocks of 512 bytes from `lba` on, each stamped with its sequence number. A block
+    /// with number 0 is all zeros.
+    fn stamped_blocks(lba: u64, numbers: &[u64]) -> Vec<u8> {
         let mut data = vec![0; numbers.len() * 512];
         for (i, (b, n)) in data.chunks_mut(512).zip(numbers).enumerate() {
             if *n > 0 {
@@ -183,7 +185,7 @@
     fn reads(o: &mut Oracle, lba: u64, numbers: &[u64]) -> Vec<Mismatch> {
         let n = numbers.len() as u32;
         o.begin_read(lba, n);
-        o.finish_read(lba, n, Some(&image(lba, numbers)), 512)
+        o.finish_read(lba, n, Some(&stamped_blocks(lba, numbers)), 512)
     }
 
     fn writes(o: &mut Oracle, lba: u64, blocks: u32, outcome: WriteOutcome) -> u64 {
@@ -227,7 +229,7 @@
         let mut o = Oracle::default();
         let a = writes(&mut o, 0, 1, WriteOutcome::Acknowledged);
         o.begin_read(0, 1);
-        let mut torn = image(0, &[a]);
+        let mut torn = stamped_blocks(0, &[a]);
         torn[300] ^= 1;
         assert!(matches!(o.finish_read(0, 1, Some(&torn), 512)[..], [Mismatch::InvalidStamp { lba: 0, .. }]));
         o.begin_read(0, 1);
--- a/crates/load/src/stamp.rs
+++ b/crates/load/src/stamp.rs
@@ -5,7 +5,8 @@
 const HEADER_LENGTH: usize = 24;
 const MAGIC: [u8; 4] = *b"pfld";
 
-/// Sequence number of a write; 0 stands for a block that was never written.
+/// Sequence number of a write: the writes of an [`Oracle`](crate::oracle::Oracle) are numbered from 1 over
+/// all of its blocks. 0 stands for a block that was never written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SequenceNumber(pub u64);
 
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -86,7 +86,8 @@
     }
 }
 
-/// Collects the finding of one rule.
+/// Collects the finding of one rule: the number of checks, the closest approach to the limit and a message
+/// for every violation.
 struct RuleChecker {
     finding: Finding,
 }
--- a/crates/scale/src/connections.rs
+++ b/crates/scale/src/connections.rs
@@ -39,7 +39,8 @@
     pub duration: Duration,
 }
 
-/// Result of a measurement.
+/// Load on a host process, and the CPU time, memory, threads and file descriptors that it used under this
+/// load.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ConnectionCost {
     /// Number of client sessions.
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -140,6 +140,7 @@
     run(&arguments.size(), &program, arguments.lose_leader)
 }
 
+/// Measures the resources that a host uses while its sessions send requests at the given total rate.
 fn measure_connections(arguments: &ConnectionArguments) -> Result<ConnectionCost, RunError> {
     Ok(connections::measure(&arguments.benchmark()?)?)
 }
@@ -161,6 +162,8 @@
     }
 }
 
+/// Runs a measurement, or serves as a child process of one. The exit code is 2 for invalid arguments or an
+/// invalid size, and 1 for a measurement or a child process that failed.
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     if let Err(error) = arguments.common.start_log() {
--- a/crates/scale/src/simulated_clients.rs
+++ b/crates/scale/src/simulated_clients.rs
@@ -64,7 +64,9 @@
 }
 
 impl SimulatedClients {
-    /// Creates the clients of a host.
+    /// Creates the clients of a host, which hold one state for each volume of the fleet instead of one for
+    /// each client. The random numbers depend on the seed of `size` and on `host`. The time until a moved
+    /// load is served is appended to `move_times`.
     pub fn new(host: u32, size: &Size, clock: RunClock, move_times: MoveTimes) -> SimulatedClients {
         let volume = |number: u32| {
             let name = format!("volume-{number:05}");
--- a/crates/site/src/params.rs
+++ b/crates/site/src/params.rs
@@ -16,6 +16,7 @@
     pub util: Option<usize>,
 }
 
+/// Returns the value at a path of keys separated by dots. A null value counts as absent.
 fn find_value<'a>(v: &'a Value, path: &str) -> Option<&'a Value> {
     path.split('.').try_fold(v, |v, key| v.get(key)).filter(|v| !v.is_null())
 }
@@ -28,6 +29,8 @@
     }
 }
 
+/// Returns a finite number that is not negative, or `default` where the value is absent or null. Messages
+/// name the setting as `prefix` followed by `path`.
 fn parse_number_or(v: &Value, path: &str, prefix: &str, default: f64) -> Result<f64, String> {
     match find_value(v, path) {
         None => Ok(default),
--- a/crates/stand/src/client.rs
+++ b/crates/stand/src/client.rs
@@ -201,6 +201,7 @@
 }
 
 impl Drop for FakeClient {
+    /// Stops the load and closes the connection, without a logout and without waiting for the thread.
     fn drop(&mut self) {
         self.inner.stopped.store(true, Ordering::SeqCst);
         if let Some(c) = &*lock(&self.inner.connection) {
--- a/crates/stand/src/node.rs
+++ b/crates/stand/src/node.rs
@@ -451,6 +451,9 @@
         job.session.respond(job.command.tag, response);
     }
 
+    /// Executes a command on the store and returns the data read. A repeated WRITE whose key the rack has
+    /// seen is discarded and succeeds, unless the node has the fault of forgetting keys. Every other write
+    /// command with a key is recorded as applied, even where the injected fault of lost writes then skips it.
     fn apply(&self, job: &Job, key: Option<IdempotencyKey>) -> Result<Payload, Sense> {
         // Nodes do not know the block size of a volume. It follows from the transfer length of the command in
         // bytes.
--- a/crates/stand/src/store.rs
+++ b/crates/stand/src/store.rs
@@ -94,14 +94,15 @@
 }
 
 /// The idempotency keys of writes that the nodes of one rack have applied, kept for a window after each key's
-/// first write.
+/// first write. Expired keys stay in memory until the cache holds more than 65,536 keys.
 pub struct RackKeyCache {
     window: Duration,
     first_applied: Mutex<HashMap<IdempotencyKey, Instant>>,
 }
 
 impl RackKeyCache {
-    /// Creates a cache that recognises a key for the length of `window`.
+    /// Creates a cache that recognises a key for `window` after its first write. Repeats do not extend the
+    /// window.
     pub fn new(window: Duration) -> Self {
         RackKeyCache { window, first_applied: Mutex::default() }
     }
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Returns a uniform random number in [0, 1).
+    /// Returns a uniform random multiple of 2^-32 in [0, 1).
     fn random_unit(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
