--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -242,8 +242,8 @@
         let envelope_room = self.envelope_room_ms(node, usize::from(request.class), now);
         if (envelope_room < 0.0 || !fits) && !self.make_room(now, request.id, node, fits, actions) {
             // The advice is capped by what is queued and in flight here. Past the largest k that was seen the
-            // envelope extrapolates far too high, and a client that is asked to wait a second instead of a few
-            // milliseconds misses its aim.
+            // envelope extrapolates far too high, and a client that is asked to wait a second instead of a
+            // few milliseconds misses its aim.
             let backlog = self.state.nodes.get(&node).map_or(0.0, |n| self.backlog_ms(n, now));
             let (wait, reason) = if fits {
                 ((-envelope_room).min(backlog), Reason::Envelope)
