--- a/src/node_age.rs
+++ b/src/node_age.rs
@@ -5,8 +5,8 @@
 //!
 //! A node that appears while the host follows discovery cannot have started long before the host's last
 //! contact with discovery. If the stated start says otherwise, one of the clocks is wrong, and the node
-//! counts as just started: slow start then treats it as cold, which is the safe side. A node of the first list is
-//! judged by its stated start, and again once the host's clock is found to be ahead.
+//! counts as just started: slow start then treats it as cold, which is the safe side. A node of the first
+//! list is judged by its stated start, and again once the host's clock is found to be ahead.
 
 /// Longest delay with which discovery reports a start, in addition to the time without contact.
 const MAX_REPORT_DELAY_MS: f64 = 15_000.0;
